--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -52,7 +52,7 @@
 inline constexpr milliseconds kSubmitAnswerLimit = 4s;    // users wait 5 s for a submission
 inline constexpr int kRetryAfterS = 1;             // s; the shortest that the protocol lets users retry
 inline constexpr milliseconds kRelayTimeout = 3s;  // below the 4 s after which a worker moves on
-inline constexpr milliseconds kRelayMemory = 8s;   // a worker back within this could not reach its owner
+inline constexpr milliseconds kRelayMemory = 8s;   // a worker back within this could not reach its leader
 inline constexpr milliseconds kRelayFor = 30s;     // then the direct way is tried again
 inline constexpr milliseconds kReturnedMemory =
     10min;  // lists and copies of reports from a gone machine come late
@@ -116,7 +116,7 @@
 inline constexpr milliseconds kProgressGap = 2s;  // between transactions that record progress of arrays
 inline constexpr std::size_t kEndedListedMost =
     40;  // attempts listed in reports before forget commands go directly
-inline constexpr double kEstimateSlack = 0.5;           // of the estimate: owners are often wrong by half
+inline constexpr double kEstimateSlack = 0.5;           // of the estimate: users are often wrong by half
 inline constexpr milliseconds kNoAimPatience = 5min;    // start aimed at for jobs for which no aim is stated
 inline constexpr milliseconds kOverlookedAfter = 150s;  // without a start: goes first; the largest have 240 s
 inline constexpr std::uint32_t kOverlookedShare = 8;  // an overlooked job gets this part of its tasks at once
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -1,4 +1,4 @@
-// The jobs as the state service has them, and for their owner what became of each task.
+// The jobs as the state service has them, and for the leader what became of each task.
 #pragma once
 
 #include <map>
@@ -19,7 +19,7 @@
 enum class JobPhase { accepted, done, cancelled };
 std::string_view name(JobPhase phase);
 
-// A gang, as its owner sees it. waiting: for room, with nothing of an earlier attempt left. reserving: its
+// A gang, as the leader sees it. waiting: for room, with nothing of an earlier attempt left. reserving: its
 // places are being written, in one transaction or several; nothing is started before the last. gathering:
 // started, its tasks fetch their images and wait for each other. running: all do. stopping: all have been
 // told to stop, saving if they can. clearing: the attempt has failed, and what is left of it is stopped.
@@ -53,7 +53,7 @@
   std::uint32_t shownDone = 0;
   std::uint32_t shownRunning = 0;
 
-  // The owner's view.
+  // The leader's view.
   std::vector<TaskPhase> tasks;
   std::uint32_t waiting = 0;
   std::uint32_t placed = 0;
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -32,7 +32,7 @@
   double checkpointS = 0;
   AttemptPhase phase = AttemptPhase::planned;
   wire::Cause cause = wire::Cause::none;
-  bool inherited = false;  // from an earlier owner: it may have ended and been forgotten already
+  bool inherited = false;  // from an earlier leader: it may have ended and been forgotten already
   bool stopWanted = false;
   double graceS = 0;
   bool stopSent = false;
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -35,14 +35,14 @@
       leadership_(context_.state, settings, seed,
                   {[this](std::uint64_t term, const std::vector<std::uint64_t>& stamps) {
                      // Made in the next turn: this is called from within the leadership's own affairs.
-                     ownerDue_ = true;
-                     ownerTerm_ = term;
-                     ownerStamps_ = stamps;
+                     leaderDue_ = true;
+                     leaderTerm_ = term;
+                     leaderPartStamps_ = stamps;
                      context_.event(Level::info, "elected", {{"term", term}});
                    },
                    [this](const char* why) {
-                     ownerDue_ = true;
-                     ownerTerm_ = 0;
+                     leaderDue_ = true;
+                     leaderTerm_ = 0;
                      context_.event(Level::info, "deposed", {{"why", why}});
                    },
                    [this](std::uint64_t layout) {
@@ -67,7 +67,7 @@
   for (auto& [label, heard] : heard_) heard.at += away;
   context_.siblingHeardAt += away;
   context_.siblingConfirmedAt += away;
-  if (owner_) owner_->resumed(away);
+  if (leader_) leader_->resumed(away);
 }
 
 void Controller::start(Time now, std::int64_t wallMs) {
@@ -81,25 +81,25 @@
 
 void Controller::tick(Time now, std::int64_t wallMs) {
   at(now, wallMs);
-  if (ownerDue_) {
-    ownerDue_ = false;
-    if (owner_) {
+  if (leaderDue_) {
+    leaderDue_ = false;
+    if (leader_) {
       for (const std::string& ref : jobs_.open()) jobs_.find(ref)->endOwning();
-      owner_.reset();
+      leader_.reset();
     }
-    if (ownerTerm_ != 0)
-      owner_ = std::make_unique<Owner>(context_, leadership_, jobFeed_, jobs_, ownerTerm_, ownerStamps_);
+    if (leaderTerm_ != 0)
+      leader_ = std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, leaderTerm_, leaderPartStamps_);
   }
   leadership_.tick(now);
-  // The owner's window for answering workers rests on this read as well as on the lease.
-  if (owner_ && now >= nextConfirm_) {
+  // The leader's window for answering workers rests on this read as well as on the lease.
+  if (leader_ && now >= nextConfirm_) {
     nextConfirm_ = now + constants::kConfirmEvery;
     jobFeed_.confirm(now, [](bool) {});
   }
   jobFeed_.tick(now);
   users_.tick();
   if (shares_) shares_->tick(leadership_.leading());
-  if (owner_) owner_->tick();
+  if (leader_) leader_->tick();
   fetchCatalog();
   if (now >= nextHeartbeat_) sendHeartbeat();
   std::erase_if(detours_,
@@ -126,7 +126,7 @@
 void Controller::onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result) {
   at(now, wallMs);
   context_.calls.complete(call, result);
-  if (owner_ && !ownerDue_) owner_->advance();
+  if (leader_ && !leaderDue_) leader_->advance();
 }
 
 void Controller::onJob(const std::string& key, const Json* value, std::uint64_t stamp) {
@@ -138,9 +138,9 @@
 void Controller::applied(jobs::JobTable::Change change, const std::string& ref) {
   using Change = jobs::JobTable::Change;
   if (change == Change::malformed) context_.event(Level::error, "bad_record", {{"job", ref}});
-  if (!owner_ || ownerDue_) return;
-  if (change == Change::accepted) owner_->onJobAccepted(*jobs_.find(ref));
-  if (change == Change::ended) owner_->onJobEnded(*jobs_.find(ref));
+  if (!leader_ || leaderDue_) return;
+  if (change == Change::accepted) leader_->onJobAccepted(*jobs_.find(ref));
+  if (change == Change::ended) leader_->onJobEnded(*jobs_.find(ref));
 }
 
 // --- requests ----------------------------------------------------------------------------------------------
@@ -190,8 +190,8 @@
     return context_.reply(request, 400, Json{{"error", report.reason()}});
   }
   if (leadership_.leading()) {
-    if (!owner_ || ownerDue_) return context_.later(request);
-    auto answer = owner_->onReport(*report, Owner::Source::report);
+    if (!leader_ || leaderDue_) return context_.later(request);
+    auto answer = leader_->onReport(*report, Leader::Source::report);
     if (answer.status != 200) return context_.later(request);
     return context_.reply(request, 200, std::move(answer.body));
   }
@@ -199,34 +199,34 @@
 }
 
 void Controller::misdirected(std::uint64_t request, const wire::Report& report, const std::string& body) {
-  const std::string owner = leaderLabel();
-  if (owner.empty() || owner == settings_.label || settings_.sibling(owner) == nullptr)
+  const std::string leader = leaderLabel();
+  if (leader.empty() || leader == settings_.label || settings_.sibling(leader) == nullptr)
     return context_.later(request);
   Detour& detour = detours_[report.host.text];
-  if (detour.owner != owner) detour = Detour{owner, {}, {}, {}};
+  if (detour.leader != leader) detour = Detour{leader, {}, {}, {}};
   detour.lastSeen = context_.now;
-  // It has been commanded under this term, or was sent to the owner a moment ago, and is here all the same:
-  // it can't reach the owner, but perhaps we can. Now and then it is sent back, in case the way is open
+  // It has been commanded under this term, or was sent to the leader a moment ago, and is here all the same:
+  // it can't reach the leader, but perhaps we can. Now and then it is sent back, in case the way is open
   // again.
   const bool left = report.token >= cluster::token(leadership_.term(), 0) ||
                     context_.now - detour.redirectedAt < constants::kRelayMemory;
   const bool enough =
       detour.relayedSince != Time{} && context_.now - detour.relayedSince > constants::kRelayFor;
   if (left && !enough) {
-    // Without a link to the owner there is no way round through us either, but perhaps through the next
-    // controller. Sent back to the owner, the worker would come to us again and again.
-    const auto heard = heard_.find(owner);
+    // Without a link to the leader there is no way round through us either, but perhaps through the next
+    // controller. Sent back to the leader, the worker would come to us again and again.
+    const auto heard = heard_.find(leader);
     if (heard == heard_.end() || context_.now - heard->second.at >= constants::kHeartbeatFresh)
       return context_.later(request);
     if (detour.relayedSince == Time{}) detour.relayedSince = context_.now;
     const std::uint64_t number = nextRelay_++;
     relays_[number] = RelayOut{request, context_.now + constants::kRelayTimeout};
-    context_.peerOut.push_back(PeerSend{owner, peer::Message{settings_.label, peer::Relay{number, body}}});
+    context_.peerOut.push_back(PeerSend{leader, peer::Message{settings_.label, peer::Relay{number, body}}});
     return;
   }
   detour.redirectedAt = context_.now;
   detour.relayedSince = Time{};
-  context_.reply(request, 421, Json{{"foreman", owner}});
+  context_.reply(request, 421, Json{{"foreman", leader}});
 }
 
 // --- peers -------------------------------------------------------------------------------------------------
@@ -239,7 +239,7 @@
   if (const auto* heartbeat = std::get_if<peer::Heartbeat>(&message.what))
     return onHeartbeat(message.from, *heartbeat);
   const auto& progress = std::get<peer::Progress>(message.what);
-  if (progress.term < progressTerm_ || owner_) return;
+  if (progress.term < progressTerm_ || leader_) return;
   progressTerm_ = progress.term;
   for (const peer::JobProgress& shown : progress.jobs) {
     if (jobs::Job* job = jobs_.find(shown.ref); job != nullptr && job->open()) {
@@ -254,8 +254,8 @@
   const auto decoded = wire::decodeBody(relay.report);
   const auto report =
       decoded ? wire::decodeReport(*decoded) : wire::Result<wire::Report>::failure(decoded.reason());
-  if (report && owner_ && !ownerDue_) {
-    auto given = owner_->onReport(*report, Owner::Source::relay);
+  if (report && leader_ && !leaderDue_) {
+    auto given = leader_->onReport(*report, Leader::Source::relay);
     if (context_.logs(Level::debug))
       context_.event(Level::debug, "relayed",
                      {{"machine", report->host.text}, {"through", from}, {"status", given.status}});
@@ -309,8 +309,8 @@
                                   context_.now - jobFeed_.confirmedAt() < constants::kHeartbeatFresh};
   for (const config::Sibling& sibling : settings_.siblings)
     context_.peerOut.push_back(PeerSend{sibling.label, peer::Message{settings_.label, heartbeat}});
-  if (!owner_) return;
-  const peer::Progress progress = owner_->progress(++heartbeats_ % kFullHeartbeats == 0);
+  if (!leader_) return;
+  const peer::Progress progress = leader_->progress(++heartbeats_ % kFullHeartbeats == 0);
   // In parts, since a frame that is too large would be dropped whole, each time again.
   for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kProgressJobs) {
     const std::size_t to = std::min(progress.jobs.size(), from + constants::kProgressJobs);
@@ -325,7 +325,7 @@
 // --- machine types -----------------------------------------------------------------------------------------
 
 void Controller::fetchCatalog() {
-  // Until they are known once; later the owner's cloud client keeps them current.
+  // Until they are known once; later the leader's cloud client keeps them current.
   if (context_.catalog || askingCatalog_ || context_.now < nextCatalog_) return;
   askingCatalog_ = true;
   wire::Call call;
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -7,7 +7,7 @@
 
 #include "cluster/leadership.hpp"
 #include "service/context.hpp"
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 #include "service/shares.hpp"
 #include "service/users.hpp"
 
@@ -67,10 +67,10 @@
   cluster::Leadership leadership_;
   Users users_;
   std::unique_ptr<SharesFollower> shares_;  // none: the operators' file has no such block
-  std::unique_ptr<Owner> owner_;
-  std::uint64_t ownerTerm_ = 0;
-  std::vector<std::uint64_t> ownerStamps_;
-  bool ownerDue_ = false;
+  std::unique_ptr<Leader> leader_;
+  std::uint64_t leaderTerm_ = 0;
+  std::vector<std::uint64_t> leaderPartStamps_;
+  bool leaderDue_ = false;
   Time lastActive_{};
   Time nextConfirm_{};
   Time nextHeartbeat_{};
@@ -85,7 +85,7 @@
   std::string toldLeader_;
 
   struct Detour {
-    std::string owner;
+    std::string leader;
     Time redirectedAt{};
     Time relayedSince{};  // unset: not relayed
     Time lastSeen{};
--- a/src/service/owner.cpp
+++ b/src/service/leader.cpp
@@ -1,4 +1,4 @@
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-Owner::Owner(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
+Leader::Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
              std::uint64_t term, std::vector<std::uint64_t> partStamps)
     : context_(context),
       leadership_(leadership),
@@ -55,31 +55,31 @@
   load();
 }
 
-void Owner::to(State next) { state_ = next; }
+void Leader::to(State next) { state_ = next; }
 
-void Owner::resign(const char* why) {
+void Leader::resign(const char* why) {
   if (resigned_) return;
   resigned_ = true;
   leadership_.resign(why);
 }
 
 // While this process stood still another may have been elected: it asks before it acts again.
-bool Owner::reconfirmed() const {
+bool Leader::reconfirmed() const {
   return std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt()) >= context_.resumedAt;
 }
 
-bool Owner::mayAnswer() const {
+bool Leader::mayAnswer() const {
   // Ownership alone is not enough: the read that confirms must also have brought in every cancellation.
   const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
   return reconfirmed() && context_.now - confirmed < context_.settings.answerWindow();
 }
 
-bool Owner::sure() const {
+bool Leader::sure() const {
   const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
   return reconfirmed() && context_.now - confirmed < constants::kLeaderTtl;
 }
 
-void Owner::resumed(wire::Duration away) {
+void Leader::resumed(wire::Duration away) {
   // Nothing was heard because nobody listened. What an earlier answer renewed goes on running out, though.
   for (auto& [host, machine] : machines_.all()) {
     machine.lastHeard += away;
@@ -89,7 +89,7 @@
   cuts_.reset();
 }
 
-std::vector<state::Condition> Owner::partConditions() const {
+std::vector<state::Condition> Leader::partConditions() const {
   std::vector<state::Condition> out;
   for (cluster::Part part = 0; part < partStamps_.size(); ++part)
     out.push_back({cluster::partKey(part), partStamps_[part]});
@@ -98,12 +98,12 @@
 
 // --- loading ---------------------------------------------------------------------------------------------
 
-void Owner::load() {
+void Leader::load() {
   loadsLeft_ = {kPagePrefix, kDonePrefix, kRetiringKey, "jobs"};
   loadRetryAt_ = context_.now;
 }
 
-void Owner::loadPage(const std::string& prefix, const std::string& after) {
+void Leader::loadPage(const std::string& prefix, const std::string& after) {
   ++loadsOut_;
   context_.state.list(context_.now, state::Urgency::lease, prefix, after,
                       [this, prefix, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
@@ -136,7 +136,7 @@
                       });
 }
 
-void Owner::adoptDone(const std::string& rest, const Json& value, std::uint64_t stamp) {
+void Leader::adoptDone(const std::string& rest, const Json& value, std::uint64_t stamp) {
   const auto slash = rest.find('/');
   std::uint32_t chunk = 0;
   const auto hex = wire::textField(value, "hex");
@@ -148,7 +148,7 @@
   doneRecords_.push_back(DoneRecord{rest.substr(0, slash), chunk, *hex, stamp});
 }
 
-void Owner::adoptRetiring(const Json& value, std::uint64_t stamp) {
+void Leader::adoptRetiring(const Json& value, std::uint64_t stamp) {
   retiringStamp_ = stamp;
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_array()) {
@@ -159,7 +159,7 @@
     if (host.is_string()) retiringLoaded_.push_back(host.get<std::string>());
 }
 
-void Owner::adoptPage(const std::string& number, const Json& value, std::uint64_t stamp) {
+void Leader::adoptPage(const std::string& number, const Json& value, std::uint64_t stamp) {
   std::uint32_t page = 0;
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), page);
   if (error != std::errc{} || end != number.data() + number.size()) {
@@ -184,7 +184,7 @@
     machine.phase = MachinePhase::up;
     machine.rentedAt = machine.lastHeard = machine.lastDirect = machine.upSince = machine.idleSince =
         context_.now;
-    // Until this moment plus its window an earlier owner may have renewed the worker's lease.
+    // Until this moment plus its window an earlier leader may have renewed the worker's lease.
     machine.lastAnswered = electedAt_ + context_.settings.answerWindow();
     for (const auto& [task, attemptNumber] : paged.placed) {
       // On its way from a page that has become too large to another it stands on both.
@@ -201,7 +201,7 @@
   }
 }
 
-void Owner::loaded() {
+void Leader::loaded() {
   for (const std::string& ref : jobs_.open()) jobs_.find(ref)->beginOwning(context_.now);
   for (const DoneRecord& record : doneRecords_) {
     jobs::Job* job = jobs_.find(record.ref);
@@ -259,7 +259,7 @@
         std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - electedAt_).count()}});
 }
 
-void Owner::loadLearned() {
+void Leader::loadLearned() {
   // Nobody waits for it: sizing follows the queues until it is there.
   context_.state.get(context_.now, state::Urgency::complete, kLearnedKey,
                      [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
@@ -270,7 +270,7 @@
                      });
 }
 
-void Owner::copyLearned() {
+void Leader::copyLearned() {
   if (context_.now < nextCopy_) return;
   nextCopy_ = context_.now + constants::kCopyEvery;
   state::Transaction transaction;
@@ -281,7 +281,7 @@
 
 // --- life ------------------------------------------------------------------------------------------------
 
-void Owner::tick() {
+void Leader::tick() {
   if (resigned_) return;
   if (state_ == State::loading) {
     if (loadsLeft_.empty()) {
@@ -327,7 +327,7 @@
   if (shares_.tableChanged()) planDue_ = true;
 }
 
-void Owner::advance() {
+void Leader::advance() {
   if (resigned_ || state_ != State::acting) return;
   records_.tick();
   placements_.tick(context_.now);
@@ -337,13 +337,13 @@
   if (!resigned_) commands_.sendDirects();
 }
 
-void Owner::onJobAccepted(jobs::Job& job) {
+void Leader::onJobAccepted(jobs::Job& job) {
   if (state_ != State::acting) return;
   job.beginOwning(context_.now);
   planDue_ = true;
 }
 
-void Owner::onJobEnded(jobs::Job& job) {
+void Leader::onJobEnded(jobs::Job& job) {
   if (state_ != State::acting) return;
   const std::string ref = job.spec.ref.text;
   job.endOwning();
@@ -357,7 +357,7 @@
   planDue_ = true;
 }
 
-peer::Progress Owner::progress(bool all) {
+peer::Progress Leader::progress(bool all) {
   peer::Progress out;
   out.term = term_;
   if (state_ != State::acting) return out;
--- a/src/service/owner.hpp
+++ b/src/service/leader.hpp
@@ -26,14 +26,14 @@
 
 inline constexpr const char* kRetiringKey = "retiring";
 
-class Owner {
+class Leader {
  public:
   // loading: reading jobs, completions and machines. acting: everything else.
   enum class State { loading, acting };
 
-  Owner(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
+  Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
         std::uint64_t term, std::vector<std::uint64_t> partStamps);
-  Owner(const Owner&) = delete;
+  Leader(const Leader&) = delete;
 
   void tick();
   // What has just become known may start the next round at once.
@@ -55,7 +55,7 @@
   State state() const { return state_; }
 
  private:
-  // --- owner.cpp: life, loading
+  // --- leader.cpp: life, loading
   void to(State next);
   void load();
   void loadPage(const std::string& prefix, const std::string& after);
@@ -68,16 +68,16 @@
   void resign(const char* why);
   bool mayAnswer() const;
   // Confirmed so lately that nobody else can lead yet. What costs money or condemns machines needs it: an
-  // owner that is cut off would rent and condemn beside the next one.
+  // leader that is cut off would rent and condemn beside the next one.
   bool sure() const;
   // Asked the state service, with an answer, since this process last stood still.
   bool reconfirmed() const;
-  // Since when this owner could hear its machines without a break.
+  // Since when this leader could hear its machines without a break.
   Time listeningSince() const { return std::max(actingSince_, context_.resumedAt); }
-  // Every durable change of an owner depends on its parts.
+  // Every durable change of a leader depends on its parts.
   std::vector<state::Condition> partConditions() const;
 
-  // --- owner_evidence.cpp, owner_faults.cpp, owner_reachability.cpp
+  // --- leader_heartbeats.cpp, leader_task_failures.cpp, leader_failure_detection.cpp
   void takeEvidence(Machine& machine, const wire::Report& report, Source source);
   void takeTaskReport(Machine& machine, Attempt& attempt, const wire::TaskReport& reported);
   void takeAbsence(Machine& machine, const wire::Report& report);
@@ -106,7 +106,7 @@
   void useNotice(Machine& machine);
   void setRunning(Attempt& attempt, AttemptPhase next);
 
-  // --- owner_rounds.cpp: completions, placement, records
+  // --- leader_scheduling.cpp: completions, placement, records
   void forgetsDue();
   void placementRound();
   placement::Plan planRound();
@@ -121,7 +121,7 @@
   void retiringRound();
   void refusedBy(const state::Outcome& outcome, const char* what);
 
-  // --- owner_gangs.cpp: attempts of gangs begin and end whole
+  // --- leader_gangs.cpp: attempts of gangs begin and end whole
   void forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit);
   void toGang(jobs::Job& job, jobs::GangPhase next, const char* why);
   void adoptGangs();
@@ -133,7 +133,7 @@
   void completeGang(jobs::Job& job);
   void reserveRest(std::set<std::uint32_t>& pages, std::set<std::string>& jobs, std::set<std::string>& hosts);
 
-  // --- owner_fleet.cpp: renting, returning, sizing
+  // --- leader_autoscaling.cpp: renting, returning, sizing
   void onRented(const cloud::PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused);
   void onReturned(const std::vector<std::string>& hosts);
   void onListed(const std::vector<wire::HostEntry>& hosts);
--- a/src/service/owner_fleet.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -2,11 +2,11 @@
 #include <algorithm>
 #include <utility>
 
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 namespace reachhoist::service {
 
-void Owner::describe(Machine& machine) {
+void Leader::describe(Machine& machine) {
   if (!context_.catalog) return;
   for (const wire::MachineType& machineType : *context_.catalog) {
     if (machineType.label != machine.machineType) continue;
@@ -16,7 +16,7 @@
   }
 }
 
-void Owner::onRented(const cloud::PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused) {
+void Leader::onRented(const cloud::PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused) {
   for (const std::string& host : hosts) {
     if (machines_.find(host) != nullptr) continue;  // its worker was faster than the answer
     Machine& machine = machines_.add(host);
@@ -42,7 +42,7 @@
   planDue_ = true;
 }
 
-void Owner::onReturned(const std::vector<std::string>& hosts) {
+void Leader::onReturned(const std::vector<std::string>& hosts) {
   for (const std::string& host : hosts) {
     Machine* machine = machines_.find(host);
     if (machine == nullptr) continue;
@@ -58,7 +58,7 @@
   planDue_ = true;
 }
 
-void Owner::onListed(const std::vector<wire::HostEntry>& hosts) {
+void Leader::onListed(const std::vector<wire::HostEntry>& hosts) {
   std::erase_if(returnedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const wire::HostEntry& entry : hosts) {
     Machine* machine = machines_.find(entry.ref.text);
@@ -96,7 +96,7 @@
   }
 }
 
-void Owner::retire(Machine& machine, const char* why, bool gently) {
+void Leader::retire(Machine& machine, const char* why, bool gently) {
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
   machine.returnReason = why;
   machine.to(MachinePhase::draining, context_.now);
@@ -111,14 +111,14 @@
   }
 }
 
-void Owner::condemn(Machine& machine, const char* why) {
+void Leader::condemn(Machine& machine, const char* why) {
   if (machine.phase == MachinePhase::returning || machine.phase == MachinePhase::retiring) return;
   machine.returnReason = why;
   machine.to(MachinePhase::retiring, context_.now);
   context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
 }
 
-double Owner::bootSecondsOf(const Machine& machine) const {
+double Leader::bootSecondsOf(const Machine& machine) const {
   if (!context_.catalog) return 0;
   for (const wire::MachineType& machineType : *context_.catalog)
     if (machineType.label == machine.machineType) return machineType.bootS;
@@ -127,7 +127,7 @@
 
 // What never comes up costs money until it is returned; where all boots are slow, giving up would throw away
 // what is about to come.
-void Owner::giveUpOnBoots() {
+void Leader::giveUpOnBoots() {
   // What was reported while nobody listened arrives first.
   if (context_.now - listeningSince() <
       wire::seconds(context_.settings.reportS * constants::kGoneReports + 1))
@@ -145,7 +145,7 @@
   }
 }
 
-void Owner::moveRetirements() {
+void Leader::moveRetirements() {
   if (context_.now >= nextBootCheck_) {
     nextBootCheck_ = context_.now + constants::kShortfallEvery;
     giveUpOnBoots();
@@ -159,7 +159,7 @@
   }
 }
 
-std::vector<placement::Unmet> Owner::endangered() {
+std::vector<placement::Unmet> Leader::endangered() {
   if (cuts_.selfCut()) return {};
   std::map<std::string, std::uint32_t> tasks;
   for (const auto& [host, machine] : machines_.all()) {
@@ -174,7 +174,7 @@
   return out;
 }
 
-fleet::FleetWorld Owner::fleetWorld() {
+fleet::FleetWorld Leader::fleetWorld() {
   fleet::FleetWorld world{
       context_.settings, *context_.catalog, context_.now, context_.wallMs, allMachines(), unmet_, {}, {},
       cuts_.zones(),     endangered(),      boots_};
@@ -192,12 +192,12 @@
   return world;
 }
 
-void Owner::rent(const cloud::PoolKey& pool, int count, const char* why) {
+void Leader::rent(const cloud::PoolKey& pool, int count, const char* why) {
   context_.event(Level::info, "rent", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
   cloud_->rent(context_.now, pool, static_cast<std::size_t>(count));
 }
 
-void Owner::sizeFleet() {
+void Leader::sizeFleet() {
   if (!context_.catalog || !sure()) return;
   // The machines that are up make themselves known first; else a new leader would rent everything again.
   const auto settle = wire::seconds(context_.settings.reportS * 1.5 + 1);
--- a/src/service/owner_reachability.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -2,11 +2,11 @@
 // the cloud takes back.
 #include <algorithm>
 
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 namespace reachhoist::service {
 
-bool Owner::holdsService(const Attempt& attempt) {
+bool Leader::holdsService(const Attempt& attempt) {
   return attempt.holdsRoom() && attempt.phase != AttemptPhase::planned && !attempt.stopWanted &&
          attempt.priority >= wire::Priority::high;
 }
@@ -15,7 +15,7 @@
 // proves at once that they have ended, so where there is room they move now and not after the lease's
 // margins.
 // What has not been heard since the leader changed may have been cut off from the earlier one for long.
-void Owner::moveServices() {
+void Leader::moveServices() {
   if (cuts_.zones().empty() || cuts_.selfCut()) return;
   double room = 0;
   for (const auto& [host, machine] : machines_.all()) {
@@ -46,7 +46,7 @@
 
 // Neither workers nor siblings get through, or workers by way of siblings only: this controller reaches the
 // state service, but another serves better, and as long as this one leads the leases of all machines run out.
-bool Owner::handOver() {
+bool Leader::handOver() {
   if (context_.settings.siblings.empty() || resigned_ || !sure()) return false;
   const char* why = nullptr;
   const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kHeartbeatFresh;
@@ -67,7 +67,7 @@
   return true;
 }
 
-void Owner::watchSilence() {
+void Leader::watchSilence() {
   if (context_.now < nextSilenceCheck_ || !reconfirmed()) return;
   nextSilenceCheck_ = context_.now + constants::kTick * 10;
   probeUnheard();
@@ -116,7 +116,7 @@
 
 // Workers that an earlier leader still answers would stay with it for as long as it believes itself entitled.
 // One that sees our token finds that leader's answers void and comes to us.
-void Owner::probeUnheard() {
+void Leader::probeUnheard() {
   if (context_.now - actingSince_ < constants::kProbeUnheardAfter || !sure()) return;
   unsigned left = std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / 4);
   for (auto& [host, machine] : machines_.all()) {
@@ -131,7 +131,7 @@
 
 // Workers that siblings pass on may be within reach all the same: those that answer show that this controller
 // is not cut off.
-void Owner::sampleDirect() {
+void Leader::sampleDirect() {
   std::size_t asked = 0;
   const auto overdue = wire::seconds(context_.settings.reportS * constants::kQuietReports + 0.5);
   for (auto& [host, machine] : machines_.all()) {
@@ -146,7 +146,7 @@
   }
 }
 
-void Owner::inspect(Machine& machine) {
+void Leader::inspect(Machine& machine) {
   commands_.callBegins();
   wire::Call call;
   call.to = wire::Service::worker;
@@ -171,7 +171,7 @@
   });
 }
 
-void Owner::useNotice(Machine& machine) {
+void Leader::useNotice(Machine& machine) {
   const double leftS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
   for (Attempt& attempt : machine.attempts) {
     if (!attempt.holdsRoom() || attempt.phase == AttemptPhase::planned) continue;
--- a/src/service/owner_gangs.cpp
+++ b/src/service/leader_gangs.cpp
@@ -2,19 +2,19 @@
 // places durable before the first start, and the next attempt only once nothing of this one may be left.
 #include <algorithm>
 
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 namespace reachhoist::service {
 
 using jobs::GangPhase;
 
-void Owner::forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit) {
+void Leader::forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit) {
   for (auto& [host, machine] : machines_.all())
     for (Attempt& attempt : machine.attempts)
       if (attempt.task.job.text == ref) visit(machine, attempt);
 }
 
-void Owner::toGang(jobs::Job& job, GangPhase next, const char* why) {
+void Leader::toGang(jobs::Job& job, GangPhase next, const char* why) {
   if (job.gang.phase == next) return;
   context_.event(Level::info, "gang",
                  {{"job", job.spec.ref.text},
@@ -24,8 +24,8 @@
   job.gang.to(next);
 }
 
-// What an earlier owner left. A whole attempt may be running; part of one can't be completed by anybody.
-void Owner::adoptGangs() {
+// What an earlier leader left. A whole attempt may be running; part of one can't be completed by anybody.
+void Leader::adoptGangs() {
   std::map<std::string, std::set<std::uint32_t>> tasks;  // of the latest attempt
   for (auto& [host, machine] : machines_.all()) {
     for (const Attempt& attempt : machine.attempts) {
@@ -46,14 +46,14 @@
   }
 }
 
-bool Owner::gangMayStart(const Attempt& attempt) {
+bool Leader::gangMayStart(const Attempt& attempt) {
   const jobs::Job* job = jobs_.find(attempt.task.job.text);
   return job != nullptr && job->open() && job->gang.number == attempt.number &&
          job->gang.phase == GangPhase::gathering;
 }
 
 // Places that found no page in the round of their decision.
-void Owner::reserveRest(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
+void Leader::reserveRest(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
                         std::set<std::string>& hosts) {
   if (reserving_.empty()) return;
   pages_.weigh(machines_);
@@ -82,7 +82,7 @@
   }
 }
 
-void Owner::gangWritten(jobs::Job& job) {
+void Leader::gangWritten(jobs::Job& job) {
   if (job.gang.phase != GangPhase::reserving) return;
   std::uint32_t recorded = 0;
   forEachAttempt(job.spec.ref.text, [&](Machine&, Attempt& attempt) {
@@ -93,7 +93,7 @@
   forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt&) { commands_.markDue(machine); });
 }
 
-void Owner::gangRuns(jobs::Job& job) {
+void Leader::gangRuns(jobs::Job& job) {
   if (job.gang.phase != GangPhase::gathering || job.running < job.spec.taskCount) return;
   // Tasks that linger of an earlier attempt, or save already, are no evidence that this one runs.
   std::uint32_t run = 0;
@@ -106,7 +106,7 @@
 }
 
 // A task of the present attempt has ended without being done, or is gone: the rest can't go on.
-void Owner::gangLost(jobs::Job& job, const Attempt& attempt, const char* why) {
+void Leader::gangLost(jobs::Job& job, const Attempt& attempt, const char* why) {
   if (!job.isGang() || !job.open() || attempt.number != job.gang.number) return;
   const GangPhase phase = job.gang.phase;
   if (phase != GangPhase::reserving && phase != GangPhase::gathering && phase != GangPhase::running) return;
@@ -121,7 +121,7 @@
 }
 
 // To make room or to drain a machine: all tasks are told at once, with time to save if there is so much left.
-void Owner::stopGang(const std::string& ref, double leftS, const char* why) {
+void Leader::stopGang(const std::string& ref, double leftS, const char* why) {
   jobs::Job* job = jobs_.find(ref);
   if (job == nullptr || !job->open() || !job->isGang()) return;
   const GangPhase phase = job->gang.phase;
@@ -136,7 +136,7 @@
 
 // They complete together: one task done means all are, and nothing is run again for the sake of tasks whose
 // machines have vanished meanwhile.
-void Owner::completeGang(jobs::Job& job) {
+void Leader::completeGang(jobs::Job& job) {
   toGang(job, GangPhase::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
     job.to(index, jobs::TaskPhase::completed, context_.now);
--- a/src/service/owner_evidence.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 namespace reachhoist::service {
 
@@ -14,7 +14,7 @@
 }
 }  // namespace
 
-Owner::ReportAnswer Owner::onReport(const wire::Report& report, Source source) {
+Leader::ReportAnswer Leader::onReport(const wire::Report& report, Source source) {
   if (state_ != State::acting || resigned_) return {};
   if (!mayAnswer()) {
     // It is there all the same: after a long outage machines that kept reporting are not given up for silent.
@@ -60,7 +60,7 @@
   return ReportAnswer{200, wire::encodeOrders(commands_.tokenOf(*machine), orders)};
 }
 
-void Owner::takeEvidence(Machine& machine, const wire::Report& report, Source source) {
+void Leader::takeEvidence(Machine& machine, const wire::Report& report, Source source) {
   if (!newer(machine, report)) return;
   if (report.session > machine.session) newSession(machine, report);
   machine.sequence = report.sequence;
@@ -104,11 +104,11 @@
   if (!machine.empty()) machine.idleSince = context_.now;
 }
 
-void Owner::newSession(Machine& machine, const wire::Report& report) {
+void Leader::newSession(Machine& machine, const wire::Report& report) {
   if (machine.session != 0 && !machine.attempts.empty())
     context_.event(Level::info, "lease_lost",
                    {{"machine", machine.host.text}, {"attempts", machine.attempts.size()}});
-  // The worker has killed and forgotten everything of the sessions before. What an earlier owner placed and
+  // The worker has killed and forgotten everything of the sessions before. What an earlier leader placed and
   // nobody has seen under this one may belong to the new session: the one known so far may be that of a late
   // copy. Absence decides about it, as always under a new term.
   for (Attempt& attempt : machine.attempts) {
@@ -124,7 +124,7 @@
   machine.images = {};
 }
 
-void Owner::setRunning(Attempt& attempt, AttemptPhase next) {
+void Leader::setRunning(Attempt& attempt, AttemptPhase next) {
   const bool was = attempt.onMachine();
   attempt.to(next, context_.now);
   const bool is = attempt.onMachine();
@@ -138,7 +138,7 @@
   }
 }
 
-void Owner::takeTaskReport(Machine& machine, Attempt& attempt, const wire::TaskReport& reported) {
+void Leader::takeTaskReport(Machine& machine, Attempt& attempt, const wire::TaskReport& reported) {
   attempt.session = machine.session;
   switch (reported.stage) {
     case wire::TaskStage::unfamiliar:
@@ -194,10 +194,10 @@
   gangLost(*job, attempt, "a task ended");
 }
 
-void Owner::unplace(jobs::Job& job, const wire::TaskId& task) {
+void Leader::unplace(jobs::Job& job, const wire::TaskId& task) {
   planDue_ = true;
   if (job.tasks[task.index] != jobs::TaskPhase::placed) return;
-  // Records are cleaned lazily: after a change of owner a task may stand in two of them, and the end of the
+  // Records are cleaned lazily: after a change of leader a task may stand in two of them, and the end of the
   // stale attempt says nothing about the one that runs.
   for (const auto& [host, machine] : machines_.all()) {
     for (const Attempt& other : machine.attempts)
@@ -206,9 +206,9 @@
   job.to(task.index, jobs::TaskPhase::waiting, context_.now);
 }
 
-void Owner::takeAbsence(Machine& machine, const wire::Report& report) {
+void Leader::takeAbsence(Machine& machine, const wire::Report& report) {
   // Under a new term a report proves absence only once the worker has seen our token: before that it may be a
-  // late copy of one that an earlier owner got.
+  // late copy of one that an earlier leader got.
   if (report.token < cluster::token(term_, 0)) return;
   for (Attempt& attempt : machine.attempts) {
     const bool present =
@@ -227,7 +227,7 @@
   }
 }
 
-void Owner::release(Machine& machine, Attempt& attempt, const char* why) {
+void Leader::release(Machine& machine, Attempt& attempt, const char* why) {
   if (attempt.phase == AttemptPhase::free) return;
   const bool wasEnded = attempt.phase == AttemptPhase::ended;
   setRunning(attempt, AttemptPhase::free);
@@ -241,7 +241,7 @@
   gangLost(*job, attempt, why);
 }
 
-void Owner::releaseAll(Machine& machine, const char* why) {
+void Leader::releaseAll(Machine& machine, const char* why) {
   for (Attempt& attempt : machine.attempts) {
     // What is still being written has never been started; its transaction decides what becomes of it.
     if (attempt.phase != AttemptPhase::planned) release(machine, attempt, why);
@@ -249,11 +249,11 @@
   dropFree(machine);
 }
 
-void Owner::dropFree(Machine& machine) {
+void Leader::dropFree(Machine& machine) {
   std::erase_if(machine.attempts, [](const Attempt& attempt) { return attempt.phase == AttemptPhase::free; });
 }
 
-void Owner::complete(const wire::TaskId& task) {
+void Leader::complete(const wire::TaskId& task) {
   jobs::Job& job = *jobs_.find(task.job.text);
   if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
   if (job.isGang()) return completeGang(job);
--- a/src/service/owner_rounds.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -2,25 +2,25 @@
 // widen with the load.
 #include <algorithm>
 
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 namespace reachhoist::service {
 
-void Owner::refusedBy(const state::Outcome& outcome, const char* what) {
+void Leader::refusedBy(const state::Outcome& outcome, const char* what) {
   for (const std::string& key : outcome.failed) {
     if (key.starts_with("jobs/")) {
       jobFeed_.confirm(context_.now, [](bool) {});
     } else if (jobs::endedDoneKey(jobs_, key)) {
       // Its job became final while this waited for its turn, and its records of progress have been deleted.
     } else {
-      // Somebody else has written what only an owner writes, or we know less than we think: start over.
+      // Somebody else has written what only a leader writes, or we know less than we think: start over.
       context_.event(Level::error, "refused", {{"what", what}, {"key", key}});
       return resign("a record was not as known");
     }
   }
 }
 
-void Owner::forgetsDue() {
+void Leader::forgetsDue() {
   for (auto& [host, machine] : machines_.all()) {
     const bool forgettable = std::any_of(machine.attempts.begin(), machine.attempts.end(),
                                          [](const Attempt& a) { return a.phase == AttemptPhase::ended; });
@@ -31,14 +31,14 @@
 
 // --- placement ---------------------------------------------------------------------------------------------
 
-std::vector<Machine*> Owner::allMachines() {
+std::vector<Machine*> Leader::allMachines() {
   std::vector<Machine*> out;
   for (auto& [host, machine] : machines_.all())
     if (machine.phase != MachinePhase::gone) out.push_back(&machine);
   return out;
 }
 
-placement::Plan Owner::planRound() {
+placement::Plan Leader::planRound() {
   const std::size_t ops = context_.settings.stateTxnOps;
   placement::World world{context_.settings,
                          context_.now,
@@ -79,14 +79,14 @@
   return plan;
 }
 
-bool Owner::mayReclaim() const {
+bool Leader::mayReclaim() const {
   // A new leader first hears what runs: until then all tasks look freshly started, and those that an earlier
   // leader has stopped look as if they went on.
   const auto settle = wire::seconds(context_.settings.reportS * 1.5 + 1);
   return context_.now - actingSince_ >= settle && sure();
 }
 
-std::set<std::string> Owner::takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
+std::set<std::string> Leader::takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
                                              std::set<std::string>& jobs) {
   std::set<std::string> hosts;
   if (plan.assignments.empty()) return hosts;
@@ -131,7 +131,7 @@
   return hosts;
 }
 
-void Owner::placementRound() {
+void Leader::placementRound() {
   if (placements_.busy()) return;
   std::set<std::uint32_t> pages;
   std::set<std::string> jobs;
@@ -173,7 +173,7 @@
       [this, hosts, names](const state::Outcome& outcome) { onPlacements(hosts, names, outcome); });
 }
 
-void Owner::onPlacements(const std::set<std::string>& hosts, const PageNames& pages,
+void Leader::onPlacements(const std::set<std::string>& hosts, const PageNames& pages,
                          const state::Outcome& outcome) {
   planDue_ = true;
   const bool applied = outcome.verdict == state::Verdict::applied;
@@ -213,7 +213,7 @@
 // --- machines that go --------------------------------------------------------------------------------------
 
 // A lane of its own, as urgent as placements: until its return a machine is paid for, and what it held waits.
-void Owner::retiringRound() {
+void Leader::retiringRound() {
   if (retiring_.busy()) return;
   std::vector<std::string> retiring;
   // One key names every machine that is being returned; those that are gone leave it with its next writing.
--- a/src/service/owner_faults.cpp
+++ b/src/service/leader_task_failures.cpp
@@ -1,11 +1,11 @@
 // Tasks that fail: a machine that is sick is told from a job that is itself wrong.
 #include <algorithm>
 
-#include "service/owner.hpp"
+#include "service/leader.hpp"
 
 namespace reachhoist::service {
 
-void Owner::noteError(Machine& machine, const Attempt& attempt) {
+void Leader::noteError(Machine& machine, const Attempt& attempt) {
   const std::string& ref = attempt.task.job.text;
   context_.event(Level::info, "task_failed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   jobs::Job* job = jobs_.find(ref);
@@ -27,13 +27,13 @@
 }
 
 // The machines on which the job failed are as good as any other.
-void Owner::clearBlame(const std::string& ref) {
+void Leader::clearBlame(const std::string& ref) {
   for (auto& [host, machine] : machines_.all())
     if (machine.errorJobs.erase(ref) > 0 && machine.errorJobs.empty()) machine.clearErrors();
 }
 
 // What is held to be at fault and then does well had bad luck with its machines.
-void Owner::judgeJobs() {
+void Leader::judgeJobs() {
   for (auto at = faultyJobs_.begin(); at != faultyJobs_.end();) {
     jobs::Job* job = jobs_.find(*at);
     const bool over = job == nullptr || !job->open();
@@ -51,7 +51,7 @@
   }
 }
 
-bool Owner::doesWell(const std::string& ref,
+bool Leader::doesWell(const std::string& ref,
                      std::optional<std::reference_wrapper<const Machine>> except) const {
   const jobs::Job* job = jobs_.find(ref);
   if (job != nullptr && job->open() && job->completed > 0) return true;
@@ -70,7 +70,7 @@
   return false;
 }
 
-void Owner::judge(Machine& machine) {
+void Leader::judge(Machine& machine) {
   // A job that is itself wrong fails on every machine, a sick machine fails every job. What tells them apart
   // is how the same job does elsewhere, and failed tasks are always tried elsewhere first.
   if (machine.errorsInRow < constants::kSuspectErrors || machine.sick) return;
--- a/src/service/shares.hpp
+++ b/src/service/shares.hpp
@@ -36,7 +36,7 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-// Shares in the rounds of the controller that leads: what the owner's rounds divide by, when they may
+// Shares in the rounds of the controller that leads: what the leader's rounds divide by, when they may
 // reclaim, and the groups' status for operators.
 class SharesInRounds {
  public:
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -55,7 +55,7 @@
       case AttemptPhase::free:
         break;
       case AttemptPhase::recorded:
-        // Never repeated for what may have ended and been forgotten under an earlier owner.
+        // Never repeated for what may have ended and been forgotten under an earlier leader.
         if (attempt.inherited && !attempt.stopWanted) break;
         if (attempt.stopWanted) {
           order.verb = wire::Verb::stop;
