--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -88,7 +88,8 @@
       leader_.reset();
     }
     if (leaderTerm_ != 0)
-      leader_ = std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, leaderTerm_, leaderPartStamps_);
+      leader_ =
+          std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, leaderTerm_, leaderPartStamps_);
   }
   leadership_.tick(now);
   // The leader's window for answering workers rests on this read as well as on the lease.
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 Leader::Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
-             std::uint64_t term, std::vector<std::uint64_t> partStamps)
+               std::uint64_t term, std::vector<std::uint64_t> partStamps)
     : context_(context),
       leadership_(leadership),
       jobFeed_(jobFeed),
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -32,7 +32,7 @@
   enum class State { loading, acting };
 
   Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
-        std::uint64_t term, std::vector<std::uint64_t> partStamps);
+         std::uint64_t term, std::vector<std::uint64_t> partStamps);
   Leader(const Leader&) = delete;
 
   void tick();
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -16,7 +16,8 @@
   }
 }
 
-void Leader::onRented(const cloud::PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused) {
+void Leader::onRented(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
+                      std::size_t refused) {
   for (const std::string& host : hosts) {
     if (machines_.find(host) != nullptr) continue;  // its worker was faster than the answer
     Machine& machine = machines_.add(host);
--- a/src/service/leader_gangs.cpp
+++ b/src/service/leader_gangs.cpp
@@ -54,7 +54,7 @@
 
 // Places that found no page in the round of their decision.
 void Leader::reserveRest(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
-                        std::set<std::string>& hosts) {
+                         std::set<std::string>& hosts) {
   if (reserving_.empty()) return;
   pages_.weigh(machines_);
   for (auto at = reserving_.begin(); at != reserving_.end();) {
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -87,7 +87,7 @@
 }
 
 std::set<std::string> Leader::takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
-                                             std::set<std::string>& jobs) {
+                                              std::set<std::string>& jobs) {
   std::set<std::string> hosts;
   if (plan.assignments.empty()) return hosts;
   pages_.weigh(machines_);
@@ -174,7 +174,7 @@
 }
 
 void Leader::onPlacements(const std::set<std::string>& hosts, const PageNames& pages,
-                         const state::Outcome& outcome) {
+                          const state::Outcome& outcome) {
   planDue_ = true;
   const bool applied = outcome.verdict == state::Verdict::applied;
   if (applied)
--- a/src/service/leader_task_failures.cpp
+++ b/src/service/leader_task_failures.cpp
@@ -52,7 +52,7 @@
 }
 
 bool Leader::doesWell(const std::string& ref,
-                     std::optional<std::reference_wrapper<const Machine>> except) const {
+                      std::optional<std::reference_wrapper<const Machine>> except) const {
   const jobs::Job* job = jobs_.find(ref);
   if (job != nullptr && job->open() && job->completed > 0) return true;
   // A job that is wrong may run for a while before each of its tasks fails.
