--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -1,3 +1,4 @@
+// Instance requests, releases, lists and the catalogue, each sent when due and the rate limit allows.
 #include "cloud/client.hpp"
 
 #include <algorithm>
@@ -10,10 +11,11 @@
 constexpr int kRefusalsMost = 2;                   // after a refusal the same request may be sent once more
 }  // namespace
 
-Client::Client(wire::Calls& calls, const config::Settings& settings, std::string lifeName, Handlers handlers)
+Client::Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
+               Handlers handlers)
     : calls_(calls),
       settings_(settings),
-      lifeName_(std::move(lifeName)),
+      incarnationName_(std::move(incarnationName)),
       handlers_(std::move(handlers)),
       budget_(settings.cloudRps * kShareOfRate, settings.cloudRps) {}
 
@@ -34,68 +36,70 @@
   return true;
 }
 
-void Client::rent(Time now, const PoolKey& pool, std::size_t count) {
+void Client::requestInstances(Time now, const PoolKey& pool, std::size_t count) {
   while (count > 0) {
-    auto rental = std::make_shared<Rental>();
-    rental->name = lifeName_ + "-" + std::to_string(++counter_);
-    rental->pool = pool;
-    rental->count = std::min(count, constants::kHireAtMost);
-    count -= rental->count;
-    rentals_.push_back(rental);
+    auto request = std::make_shared<InstanceRequest>();
+    request->name = incarnationName_ + "-" + std::to_string(++counter_);
+    request->pool = pool;
+    request->count = std::min(count, constants::kHireAtMost);
+    count -= request->count;
+    requests_.push_back(request);
   }
   tick(now);
 }
 
-void Client::giveBack(Time now, const std::string& host) {
-  returns_.insert(host);
+void Client::release(Time now, const std::string& host) {
+  releases_.insert(host);
   now_ = std::max(now_, now);
 }
 
 std::size_t Client::pending(const PoolKey& pool) const {
   std::size_t sum = 0;
-  for (const auto& rental : rentals_)
-    if (rental->pool == pool) sum += rental->count;
+  for (const auto& request : requests_)
+    if (request->pool == pool) sum += request->count;
   return sum;
 }
 
 void Client::tick(Time now) {
   now_ = now;
-  if (!returns_.empty() && !returning_ && now >= nextReturn_) sendReturns(now);
-  const auto rentals = rentals_;
-  for (const auto& rental : rentals)
-    if (!rental->out && now >= rental->notBefore) sendRental(now, rental);
+  if (!releases_.empty() && !releasing_ && now >= nextRelease_) sendReleases(now);
+  const auto requests = requests_;
+  for (const auto& request : requests)
+    if (!request->out && now >= request->notBefore) sendInstanceRequest(now, request);
   if (!askingCatalog_ && now >= nextCatalog_) sendCatalog(now);
   if (!listing_ && now >= nextList_) sendList(now);
 }
 
-void Client::sendRental(Time now, const std::shared_ptr<Rental>& rental) {
-  rental->out = call(now, "POST", "/hosts",
-                     Json{{"hire", rental->name},
-                          {"rig", rental->pool.machineType},
-                          {"yard", rental->pool.zone},
-                          {"loaners", rental->pool.spot},
-                          {"number", rental->count}},
-                     [this, rental](const wire::CallResult& result) { onRental(rental, result); });
-  rental->sent = rental->sent || rental->out;
+void Client::sendInstanceRequest(Time now, const std::shared_ptr<InstanceRequest>& request) {
+  request->out =
+      call(now, "POST", "/hosts",
+           Json{{"hire", request->name},
+                {"rig", request->pool.machineType},
+                {"yard", request->pool.zone},
+                {"loaners", request->pool.spot},
+                {"number", request->count}},
+           [this, request](const wire::CallResult& result) { onInstanceResponse(request, result); });
+  request->sent = request->sent || request->out;
 }
 
 void Client::dropUnsent(const PoolKey& pool) {
   std::size_t count = 0;
-  std::erase_if(rentals_, [&](const auto& rental) {
-    if (rental->sent || rental->pool != pool) return false;
-    count += rental->count;
+  std::erase_if(requests_, [&](const auto& request) {
+    if (request->sent || request->pool != pool) return false;
+    count += request->count;
     return true;
   });
-  if (count > 0) handlers_.rented(pool, {}, count);
+  if (count > 0) handlers_.provisioned(pool, {}, count);
 }
 
-void Client::onRental(const std::shared_ptr<Rental>& rental, const wire::CallResult& result) {
-  rental->out = false;
+void Client::onInstanceResponse(const std::shared_ptr<InstanceRequest>& request,
+                                const wire::CallResult& result) {
+  request->out = false;
   const auto finish = [&](const std::vector<std::string>& hosts) {
-    std::erase(rentals_, rental);
-    const std::size_t refused = rental->count - std::min(rental->count, hosts.size());
-    handlers_.rented(rental->pool, hosts, refused);
-    if (refused > 0) dropUnsent(rental->pool);
+    std::erase(requests_, request);
+    const std::size_t refused = request->count - std::min(request->count, hosts.size());
+    handlers_.provisioned(request->pool, hosts, refused);
+    if (refused > 0) dropUnsent(request->pool);
   };
   if (result.ok()) {
     std::vector<std::string> hosts;
@@ -105,57 +109,61 @@
     }
     return finish(hosts);
   }
-  // Without an answer the machines may have been rented: only the same name asked again tells.
+  // Without an answer the instances may have been provisioned: only the same name requested again tells.
   if (result.status == 503 && wire::textField(result.body, "error") == "no capacity" &&
-      ++rental->refusals >= kRefusalsMost)
+      ++request->refusals >= kRefusalsMost)
     return finish({});
   if (result.status == 400) return finish({});
-  rental->notBefore = now_ + kRetry;
+  request->notBefore = now_ + kRetry;
 }
 
-void Client::sendReturns(Time now) {
+void Client::sendReleases(Time now) {
   std::vector<std::string> batch;
-  for (const std::string& host : returns_) {
+  for (const std::string& host : releases_) {
     if (batch.size() == constants::kReturnAtMost) break;
     batch.push_back(host);
   }
-  returning_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
-                    [this, batch](const wire::CallResult& result) {
-                      returning_ = false;
-                      if (!result.ok()) {
-                        nextReturn_ = now_ + kRetry;
-                        return;
-                      }
-                      for (const std::string& host : batch) returns_.erase(host);
-                      handlers_.returned(batch);
-                    });
+  releasing_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
+                    [this, batch](const wire::CallResult& result) { onReleased(batch, result); });
+}
+
+void Client::onReleased(const std::vector<std::string>& batch, const wire::CallResult& result) {
+  releasing_ = false;
+  if (!result.ok()) {
+    nextRelease_ = now_ + kRetry;
+    return;
+  }
+  for (const std::string& host : batch) releases_.erase(host);
+  handlers_.released(batch);
 }
 
 void Client::sendList(Time now) {
   listing_ = call(now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kListPage),
-                  {}, [this](const wire::CallResult& result) {
-                    listing_ = false;
-                    const Json* hosts = wire::field(result.body, "hosts");
-                    if (!result.ok() || hosts == nullptr || !hosts->is_array()) {
-                      nextList_ = now_ + kRetry;
-                      listAfter_.clear();
-                      listSoFar_.clear();
-                      return;
-                    }
-                    for (const Json& entry : *hosts) {
-                      if (auto host = wire::decodeHost(entry)) {
-                        listAfter_ = host->ref.text;
-                        listSoFar_.push_back(std::move(*host));
-                      }
-                    }
-                    if (wire::flagField(result.body, "more").value_or(false) && !hosts->empty()) {
-                      nextList_ = now_;
-                      return;
-                    }
-                    nextList_ = now_ + constants::kListEvery;
-                    listAfter_.clear();
-                    handlers_.listed(std::exchange(listSoFar_, {}));
-                  });
+                  {}, [this](const wire::CallResult& result) { onListPage(result); });
+}
+
+void Client::onListPage(const wire::CallResult& result) {
+  listing_ = false;
+  const Json* hosts = wire::field(result.body, "hosts");
+  if (!result.ok() || hosts == nullptr || !hosts->is_array()) {
+    nextList_ = now_ + kRetry;
+    listAfter_.clear();
+    listSoFar_.clear();
+    return;
+  }
+  for (const Json& entry : *hosts) {
+    if (auto host = wire::decodeHost(entry)) {
+      listAfter_ = host->ref.text;
+      listSoFar_.push_back(std::move(*host));
+    }
+  }
+  if (wire::flagField(result.body, "more").value_or(false) && !hosts->empty()) {
+    nextList_ = now_;
+    return;
+  }
+  nextList_ = now_ + constants::kListEvery;
+  listAfter_.clear();
+  handlers_.listed(std::exchange(listSoFar_, {}));
 }
 
 void Client::sendCatalog(Time now) {
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,5 +1,6 @@
-// Calls to the cloud within its rate, most urgent first; rental requests are repeated under their own name
-// until their outcome is known.
+// Client of the cloud's instance API: instance requests (scale-out), releases (scale-in), the instance list
+// and the catalogue, within the cloud's rate limit. An instance request is an idempotent request: it is
+// retried under its own name until its outcome is known.
 #pragma once
 
 #include <deque>
@@ -15,35 +16,49 @@
 using wire::Json;
 using wire::Time;
 
+// A pool of instances: one machine type in one zone, spot or on-demand.
 struct PoolKey {
   std::string machineType;
   std::string zone;
   bool spot = false;
   auto operator<=>(const PoolKey&) const = default;
+  // For logs: "type/zone/spot" or "type/zone/ordinary".
   std::string str() const { return machineType + "/" + zone + (spot ? "/spot" : "/ordinary"); }
 };
 
+// Owned by one leader; its callbacks run on the caller's thread, and none after the client is destroyed.
 class Client {
  public:
+  // What the client reports back.
   struct Handlers {
+    // The outcome of an instance request: the hosts provisioned, and how many instances were refused (also
+    // for requests dropped unsent after the pool refused another).
     std::function<void(const PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused)>
-        rented;
-    std::function<void(const std::vector<std::string>& hosts)> returned;  // proven gone
+        provisioned;
+    // Hosts whose release the cloud confirmed: they are gone.
+    std::function<void(const std::vector<std::string>& hosts)> released;
+    // A complete walk through the cloud's instance list, page by page.
     std::function<void(const std::vector<wire::HostEntry>& hosts)> listed;
+    // A fresh catalogue of machine types, fetched at start and then every constants::kCatalogEvery.
     std::function<void(std::vector<wire::MachineType> catalog)> catalog;
   };
 
-  // `lifeName` is never used again by any life of any controller: rental names begin with it.
-  Client(wire::Calls& calls, const config::Settings& settings, std::string lifeName, Handlers handlers);
+  // `incarnationName` is never used again by any incarnation of any controller: instance request names begin
+  // with it.
+  Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
+         Handlers handlers);
 
-  void rent(Time now, const PoolKey& pool, std::size_t count);
-  void giveBack(Time now, const std::string& host);
+  // Scales out by `count` instances of the pool, in requests of at most constants::kHireAtMost.
+  void requestInstances(Time now, const PoolKey& pool, std::size_t count);
+  // Releases the host (scale-in) at the next tick; retried until the cloud confirms.
+  void release(Time now, const std::string& host);
+  // Sends what is due: releases, instance requests, and the periodic list and catalogue.
   void tick(Time now);
-  // Machines asked for whose request has no answer yet.
+  // Instances requested in the pool whose request has no answer yet.
   std::size_t pending(const PoolKey& pool) const;
 
  private:
-  struct Rental {
+  struct InstanceRequest {
     std::string name;
     PoolKey pool;
     std::size_t count = 0;
@@ -53,25 +68,28 @@
     bool out = false;
   };
   bool call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done);
-  void sendRental(Time now, const std::shared_ptr<Rental>& rental);
-  // The pool has no more to give: what was to be asked of it next would be refused as well.
+  void sendInstanceRequest(Time now, const std::shared_ptr<InstanceRequest>& request);
+  // The pool has no more capacity: what was to be requested of it next would be refused as well.
   void dropUnsent(const PoolKey& pool);
-  void onRental(const std::shared_ptr<Rental>& rental, const wire::CallResult& result);
-  void sendReturns(Time now);
+  void onInstanceResponse(const std::shared_ptr<InstanceRequest>& request, const wire::CallResult& result);
+  void sendReleases(Time now);
+  void onReleased(const std::vector<std::string>& batch, const wire::CallResult& result);
   void sendList(Time now);
+  // One page of the instance list; the last one completes the walk.
+  void onListPage(const wire::CallResult& result);
   void sendCatalog(Time now);
 
   wire::Calls& calls_;
   const config::Settings& settings_;
-  std::string lifeName_;
+  std::string incarnationName_;
   Handlers handlers_;
   state::Budget budget_;
   Time now_{};
   std::uint64_t counter_ = 0;
-  std::vector<std::shared_ptr<Rental>> rentals_;
-  std::set<std::string> returns_;
-  bool returning_ = false;
-  Time nextReturn_{};
+  std::vector<std::shared_ptr<InstanceRequest>> requests_;
+  std::set<std::string> releases_;
+  bool releasing_ = false;
+  Time nextRelease_{};
   bool listing_ = false;
   Time nextList_{};
   std::string listAfter_;
--- /dev/null
+++ b/src/fleet/boot_times.cpp
@@ -0,0 +1,88 @@
+// Boot-time history and launch cohorts.
+#include "fleet/boot_times.hpp"
+
+#include <algorithm>
+
+namespace reachhoist::fleet {
+
+using machines::Machine;
+using machines::MachinePhase;
+
+void BootHistory::recordBoot(const std::string& machineType, const std::string& zone, Duration startupLatency,
+                             Time now) {
+  add({machineType, zone}, Boot{now, startupLatency, true});
+}
+
+void BootHistory::recordBootTimeout(const std::string& machineType, const std::string& zone, Time now) {
+  add({machineType, zone}, Boot{now, {}, false});
+}
+
+void BootHistory::add(const Key& key, Boot boot) {
+  auto& boots = records_[key];
+  boots.push_back(boot);
+  if (boots.size() > constants::kBootsRemembered) boots.pop_front();
+}
+
+wire::Duration BootHistory::medianBootTime(const Key& key, Time now) const {
+  const auto found = records_.find(key);
+  if (found == records_.end()) return {};
+  std::vector<Duration> recent;
+  for (const Boot& boot : found->second)
+    if (boot.succeeded && now - boot.recordedAt < constants::kBootMemory)
+      recent.push_back(boot.startupLatency);
+  if (recent.size() < constants::kBootsTelling) return {};
+  const auto middle = recent.begin() + static_cast<std::ptrdiff_t>(recent.size() / 2);
+  std::nth_element(recent.begin(), middle, recent.end());
+  return *middle;
+}
+
+wire::Duration BootHistory::expectedBootTime(const std::string& machineType, const std::string& zone,
+                                             double bootS, Time now) const {
+  const auto usual = wire::seconds(bootS * constants::kBootUsual);
+  return std::max(usual, wire::seconds(constants::kBootSpread *
+                                       wire::toSeconds(medianBootTime({machineType, zone}, now)))) +
+         constants::kBootSlack;
+}
+
+wire::Duration BootHistory::bootTimeout(const std::string& machineType, const std::string& zone, double bootS,
+                                        Time now) const {
+  const Duration usual =
+      std::max<Duration>(constants::kBootPatienceLeast, wire::seconds(bootS * constants::kBootPatience));
+  return std::max(usual, constants::kBootPatienceTimes * medianBootTime({machineType, zone}, now));
+}
+
+double BootHistory::costFactor(const std::string& machineType, const std::string& zone, Time now) const {
+  const auto found = records_.find({machineType, zone});
+  if (found == records_.end()) return 1;
+  double up = 0;
+  double all = 0;
+  for (const Boot& boot : found->second) {
+    if (now - boot.recordedAt >= constants::kBootMemory) continue;
+    ++all;
+    if (boot.succeeded) ++up;
+  }
+  // One more success than were seen: a pool is never written off, and a single failure weighs little.
+  return (all + 1) / (up + 1);
+}
+
+BootCohorts::BootCohorts(const std::vector<Machine*>& machines) {
+  for (const Machine* machine : machines)
+    if (machine->phase == MachinePhase::booting || machine->phase == MachinePhase::up)
+      launches_[{machine->machineType, machine->zone}].push_back(
+          Launch{machine->rentedAt, machine->phase == MachinePhase::up});
+}
+
+bool BootCohorts::lagsCohort(const Machine& machine) const {
+  const auto found = launches_.find({machine.machineType, machine.zone});
+  if (found == launches_.end()) return false;
+  std::size_t up = 0;
+  std::size_t booting = 0;
+  for (const Launch& other : found->second) {
+    const auto apart = other.requestedAt - machine.rentedAt;
+    if (apart < -constants::kBootCohort || apart > constants::kBootCohort) continue;
+    ++(other.up ? up : booting);
+  }
+  return up > booting || up + booting < constants::kBootsTelling;
+}
+
+}  // namespace reachhoist::fleet
--- a/src/fleet/episodes.cpp
+++ b/src/fleet/episodes.cpp
@@ -1,3 +1,4 @@
+// Pareto frontier, payoff, similarity, episode buffer and the choice of a step (after SAIR).
 #include "fleet/episodes.hpp"
 
 #include <algorithm>
@@ -11,14 +12,14 @@
 
 namespace k = reachhoist::constants;
 
-bool Frontier::nonDominated(const Point& point) const {
+bool ParetoFrontier::nonDominated(const Point& point) const {
   return std::none_of(points_.begin(), points_.end(), [&](const Point& other) {
     return other.wait <= point.wait && other.cost <= point.cost &&
            (other.wait < point.wait || other.cost < point.cost);
   });
 }
 
-double Frontier::contribution(const Point& point) const {
+double ParetoFrontier::contribution(const Point& point) const {
   // The points sorted by wait have falling cost: the area between the point and the staircase, up to (1, 1).
   std::vector<Point> sorted = points_;
   std::sort(sorted.begin(), sorted.end(), [](const Point& a, const Point& b) { return a.wait < b.wait; });
@@ -38,14 +39,14 @@
   return area + std::max(0.0, 1 - left) * std::max(0.0, roof - point.cost);
 }
 
-double Frontier::distance(const Point& point) const {
+double ParetoFrontier::distance(const Point& point) const {
   double best = std::numeric_limits<double>::max();
   for (const Point& other : points_)
     best = std::min(best, std::hypot(other.wait - point.wait, other.cost - point.cost));
   return points_.empty() ? 0 : best;
 }
 
-void Frontier::update(const Point& point) {
+void ParetoFrontier::update(const Point& point) {
   if (!nonDominated(point)) return;
   std::erase_if(points_,
                 [&](const Point& other) { return point.wait <= other.wait && point.cost <= other.cost; });
@@ -58,7 +59,7 @@
                std::clamp(outcome.costAfter / outcome.costMost, 0.0, 1.0)};
 }
 
-double payoff(const Outcome& outcome, const Frontier& frontier) {
+double payoff(const Outcome& outcome, const ParetoFrontier& frontier) {
   const double wait = k::kWaitWeight * (outcome.waitBeforeS - outcome.waitAfterS) / outcome.waitBaselineS;
   const double cost = -k::kCostWeight * (outcome.costAfter - outcome.costBefore) / outcome.costBudget;
   const double over = outcome.waitAfterS / outcome.targetS;
@@ -79,13 +80,13 @@
   return std::exp(-sum / (2 * k::kContextSigma * k::kContextSigma));
 }
 
-void Buffer::add(const Episode& episode) {
+void EpisodeBuffer::add(const Episode& episode) {
   if (episode.payoff <= 0) return;
   episodes_.push_back(episode);
   if (episodes_.size() > k::kBufferMost) episodes_.erase(episodes_.begin());
 }
 
-std::vector<Episode> Buffer::retrieve(const Context& now, std::size_t count) const {
+std::vector<Episode> EpisodeBuffer::retrieve(const Context& now, std::size_t count) const {
   double sum = 0;
   for (const Episode& episode : episodes_) sum += episode.payoff;
   const std::size_t n = episodes_.size();
@@ -134,7 +135,7 @@
   return best;
 }
 
-Json Buffer::encode(std::size_t most) const {
+Json EpisodeBuffer::encode(std::size_t most) const {
   Json list = Json::array();
   const std::size_t from = episodes_.size() > most ? episodes_.size() - most : 0;
   // Whole thousandths: shorter, and exact to read back.
@@ -147,7 +148,7 @@
   return list;
 }
 
-bool Buffer::decode(const Json& value) {
+bool EpisodeBuffer::decode(const Json& value) {
   if (!value.is_array() || value.size() > k::kBufferMost) return false;
   std::vector<Episode> read;
   for (const Json& entry : value) {
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -1,53 +1,82 @@
+// The pool views that a sizing round reads.
 #include "fleet/pools.hpp"
 
 #include <algorithm>
 
-#include "fleet/coming.hpp"
+#include "fleet/pending_instances.hpp"
 
 namespace reachhoist::fleet {
 
-std::vector<PoolView> viewPools(const FleetWorld& world) {
+namespace {
+
+// vCPUs of a pool's machines that are up.
+struct CpuUsage {
+  double used = 0;
+  double total = 0;
+};
+
+std::map<PoolKey, PoolView> emptyViews(const FleetWorld& world) {
   std::map<PoolKey, PoolView> views;
-  for (const auto& [key, machineType] : allPools(world.catalog)) {
+  for (const auto& [key, machineType] : offeredPools(world.catalog)) {
     PoolView& view = views[key];
     view.key = key;
-    view.ratePerHour = price(*machineType, key.spot);
+    view.ratePerHour = hourlyPrice(*machineType, key.spot);
     view.refused = world.refused.contains(key);
   }
-  std::map<PoolKey, std::pair<double, double>> cpus;  // used, total
-  std::map<PoolKey, SpareRoom> spare;                 // each pool's step is judged by itself
+  return views;
+}
+
+// Adds the machines of the fleet to the views: sizes, idle and releasable machines, overdue boots, CPU usage.
+std::map<PoolKey, CpuUsage> countMachines(const FleetWorld& world, std::map<PoolKey, PoolView>& views) {
+  std::map<PoolKey, CpuUsage> cpus;
+  std::map<PoolKey, Headroom> headroom;  // each pool's step is judged by itself
   const BootCohorts cohorts(world.machines);
   for (const Machine* machine : world.machines) {
-    if (!counts(*machine)) continue;
-    const auto found = views.find(PoolKey{machine->machineType, machine->zone, machine->spot});
+    if (!countsTowardPool(*machine)) continue;
+    const auto found = views.find(poolOf(*machine));
     if (found == views.end()) continue;
-    ++found->second.machines;
-    if (straggles(world, cohorts, *machine)) ++found->second.late;
+    PoolView& view = found->second;
+    ++view.machines;
+    if (isStraggler(world, cohorts, *machine)) ++view.overdue;
     if (machine->phase != machines::MachinePhase::up) continue;
     if (machine->empty()) {
-      ++found->second.idle;
-      if (SpareRoom& left = spare.try_emplace(found->first, world).first->second;
-          left.staysWithout(*machine)) {
-        ++found->second.returnable;
-        left.take(*machine);
+      ++view.idle;
+      if (Headroom& left = headroom.try_emplace(found->first, world).first->second;
+          left.allowsRelease(*machine)) {
+        ++view.releasable;
+        left.release(*machine);
       }
     }
-    auto& [used, total] = cpus[found->first];
-    used += machine->total.vcpus - machine->room().vcpus;
-    total += machine->total.vcpus;
+    CpuUsage& usage = cpus[found->first];
+    usage.used += machine->total.vcpus - machine->room().vcpus;
+    usage.total += machine->total.vcpus;
+  }
+  return cpus;
+}
+
+// Adds the queued work that pending instances don't cover to each pool that could take it.
+void addQueue(const FleetWorld& world, const std::vector<QueuedWork>& queue, PoolView& view) {
+  for (const auto& [unmet, byZone] : queue) {
+    if (!placement::allows(unmet.job->spec, view.key.machineType, view.key.zone, view.key.spot)) continue;
+    view.queueWaitS = std::max(view.queueWaitS, wire::toSeconds(world.now - unmet.job->waitingSince));
+    view.queuedTasks += static_cast<int>(unmet.tasks);
   }
-  // What a machine that is coming will take is no reason for another: that is the shortfall extension's
-  // doing.
-  auto coming = comingMachines(world);
-  const auto queue = uncovered(world, coming);
+}
+
+}  // namespace
+
+PoolKey poolOf(const Machine& machine) { return PoolKey{machine.machineType, machine.zone, machine.spot}; }
+
+std::vector<PoolView> viewPools(const FleetWorld& world) {
+  std::map<PoolKey, PoolView> views = emptyViews(world);
+  const std::map<PoolKey, CpuUsage> cpus = countMachines(world, views);
+  // What a pending instance will take is no reason for another: that is the scale-out for unmet work.
+  auto pending = pendingInstances(world);
+  const auto queue = uncoveredWork(world, pending);
   for (auto& [key, view] : views) {
-    if (const auto found = cpus.find(key); found != cpus.end() && found->second.second > 0)
-      view.busyShare = found->second.first / found->second.second;
-    for (const auto& [unmet, byZone] : queue) {
-      if (!placement::allows(unmet.job->spec, key.machineType, key.zone, key.spot)) continue;
-      view.queueWaitS = std::max(view.queueWaitS, wire::toSeconds(world.now - unmet.job->waitingSince));
-      view.queuedTasks += static_cast<int>(unmet.tasks);
-    }
+    if (const auto found = cpus.find(key); found != cpus.end() && found->second.total > 0)
+      view.busyShare = found->second.used / found->second.total;
+    addQueue(world, queue, view);
   }
   std::vector<PoolView> out;
   for (auto& [key, view] : views) out.push_back(std::move(view));
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -1,86 +1,94 @@
-// Extension "reserve": ordinary room for the work that can't wait for a boot.
+// Scale-out for the reserve: on-demand capacity for the work that can't wait for a boot.
 #include <algorithm>
 #include <limits>
 
-#include "fleet/coming.hpp"
+#include "fleet/pending_instances.hpp"
 
 namespace reachhoist::fleet {
 
 namespace {
 
-// Work that runs on ordinary machines only and for which others are stopped rather than made to wait.
+// Work that runs on on-demand machines only and for which other work is preempted rather than made to wait.
 bool needsReserve(const wire::JobSpec& spec) {
   return spec.priority >= wire::Priority::high || spec.kind == wire::JobKind::gang;
 }
 
-// Of an attempt: it takes of the room that the reserve is for. What else runs there can be stopped.
+// Whether the attempt holds capacity that the reserve is for. Other work there can be preempted.
 bool holdsReserve(const machines::Attempt& attempt) {
   return attempt.priority >= wire::Priority::high || attempt.gang;
 }
 
-struct OrdinaryRoom {
-  double used = 0;  // CPUs of work that the reserve is for
-  double free = 0;  // CPUs that such work could take at once or soon
+// The on-demand capacity, in vCPUs, of the work that the reserve is for.
+struct OnDemandCapacity {
+  double used = 0;  // vCPUs that such work holds
+  double free = 0;  // vCPUs that such work could take at once or soon
   std::map<std::string, double> freeByZone;
 };
 
-OrdinaryRoom ordinaryRoom(const FleetWorld& world) {
-  OrdinaryRoom out;
-  for (const Machine* machine : world.machines) {
-    const bool takesWork = machine->phase == machines::MachinePhase::up && machine->echoed &&
-                           !machine->spotNoticeAt && !machine->spot && !lost(world, *machine);
-    if (!takesWork) continue;
-    double held = 0;
-    for (const machines::Attempt& attempt : machine->attempts)
-      if (attempt.holdsRoom() && holdsReserve(attempt)) held += attempt.each.vcpus;
-    const double free = std::max(0.0, machine->total.vcpus - held);
-    out.used += held;
-    out.free += free;
-    out.freeByZone[machine->zone] += free;
-  }
-  for (const Coming& machine : comingMachines(world)) {
-    if (machine.pool.spot) continue;
-    out.free += machine.room.vcpus;
-    out.freeByZone[machine.pool.zone] += machine.room.vcpus;
+// Adds an on-demand machine that accepts work and isn't partitioned away.
+void addMachine(const Machine& machine, OnDemandCapacity& capacity) {
+  double held = 0;
+  for (const machines::Attempt& attempt : machine.attempts)
+    if (attempt.holdsRoom() && holdsReserve(attempt)) held += attempt.each.vcpus;
+  const double free = std::max(0.0, machine.total.vcpus - held);
+  capacity.used += held;
+  capacity.free += free;
+  capacity.freeByZone[machine.zone] += free;
+}
+
+OnDemandCapacity onDemandCapacity(const FleetWorld& world) {
+  OnDemandCapacity out;
+  for (const Machine* machine : world.machines)
+    if (acceptsWork(*machine) && !machine->spot && !isPartitioned(world, *machine)) addMachine(*machine, out);
+  for (const PendingInstance& instance : pendingInstances(world)) {
+    if (instance.pool.spot) continue;
+    out.free += instance.free.vcpus;
+    out.freeByZone[instance.pool.zone] += instance.free.vcpus;
   }
   for (const placement::Unmet& unmet : world.unmet)
-    if (needsReserve(unmet.job->spec) && !outOfReach(world, unmet))
+    if (needsReserve(unmet.job->spec) && !inScaleOutBackoff(world, unmet))
       out.free -= unmet.job->spec.each.vcpus * unmet.tasks;
   return out;
 }
 
+// The on-demand pool with the cheapest vCPU; null where none may be asked.
+const PoolOffer* cheapestPool(const FleetWorld& world, const std::vector<PoolOffer>& pools,
+                              OnDemandCapacity& capacity) {
+  const PoolOffer* best = nullptr;
+  double bestCost = std::numeric_limits<double>::max();
+  for (const PoolOffer& pool : pools) {
+    const auto& [key, machineType] = pool;
+    if (key.spot || world.refused.contains(key) || world.cut.contains(key.zone) ||
+        machineType->room.vcpus <= 0)
+      continue;
+    // Price of a vCPU; the zone with the least free capacity breaks ties.
+    const double cost = machineType->rate / machineType->room.vcpus *
+                        world.bootTimes.costFactor(key.machineType, key.zone, world.now) *
+                        (1 + 0.001 * capacity.freeByZone[key.zone] / machineType->room.vcpus);
+    if (cost >= bestCost) continue;
+    bestCost = cost;
+    best = &pool;
+  }
+  return best;
+}
+
 }  // namespace
 
-std::vector<Rental> reserve(const FleetWorld& world) {
-  OrdinaryRoom room = ordinaryRoom(world);
-  const double wanted = room.used * world.settings.operators.reserveShare;
-  std::map<PoolKey, int> rentals;
-  while (wanted > room.free) {
-    const PoolKey* best = nullptr;
-    const wire::MachineType* bestType = nullptr;
-    double bestCost = std::numeric_limits<double>::max();
-    const auto pools = allPools(world.catalog);
-    for (const auto& [key, machineType] : pools) {
-      if (key.spot || world.refused.contains(key) || world.cut.contains(key.zone) ||
-          machineType->room.vcpus <= 0)
-        continue;
-      // Price of a CPU; the zone with the least room breaks ties.
-      const double cost = machineType->rate / machineType->room.vcpus *
-                          world.boots.costFactor(key.machineType, key.zone, world.now) *
-                          (1 + 0.001 * room.freeByZone[key.zone] / machineType->room.vcpus);
-      if (cost >= bestCost) continue;
-      bestCost = cost;
-      best = &key;
-      bestType = machineType;
-    }
+std::vector<ScaleOutRequest> scaleOutForReserve(const FleetWorld& world) {
+  OnDemandCapacity capacity = onDemandCapacity(world);
+  const double wanted = capacity.used * world.settings.operators.reserveShare;
+  const std::vector<PoolOffer> pools = offeredPools(world.catalog);
+  std::map<PoolKey, int> counts;
+  while (wanted > capacity.free) {
+    const PoolOffer* best = cheapestPool(world, pools, capacity);
     // Less than a whole machine's worth is not worth one: small deployments would pay a machine for a task.
-    if (best == nullptr || wanted - room.free < bestType->room.vcpus) break;
-    ++rentals[*best];
-    room.free += bestType->room.vcpus;
-    room.freeByZone[best->zone] += bestType->room.vcpus;
+    if (best == nullptr || wanted - capacity.free < best->machineType->room.vcpus) break;
+    ++counts[best->key];
+    capacity.free += best->machineType->room.vcpus;
+    capacity.freeByZone[best->key.zone] += best->machineType->room.vcpus;
   }
-  std::vector<Rental> out;
-  for (const auto& [key, count] : rentals) out.push_back(Rental{key, count, {}});
+  std::vector<ScaleOutRequest> out;
+  for (const auto& [key, count] : counts) out.push_back(ScaleOutRequest{key, count, {}});
   return out;
 }
 
--- /dev/null
+++ b/src/fleet/scale_in.cpp
@@ -0,0 +1,132 @@
+// Scale-in: the headroom, idle machines to release, and consolidation of lightly used machines.
+#include <algorithm>
+
+#include "fleet/pending_instances.hpp"
+
+namespace reachhoist::fleet {
+
+namespace {
+
+using machines::AttemptPhase;
+using machines::MachinePhase;
+
+// vCPUs that production work holds on the machine.
+double productionCpus(const Machine& machine) {
+  double cpus = 0;
+  for (const machines::Attempt& attempt : machine.attempts)
+    if (attempt.holdsRoom() && attempt.priority == wire::Priority::prod) cpus += attempt.each.vcpus;
+  return cpus;
+}
+
+// Whether the machine has been empty for longer than the operators' idle limit.
+bool idleTooLong(const FleetWorld& world, const Machine& machine) {
+  if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) return false;
+  return world.now - machine.idleSince >= wire::seconds(world.settings.operators.idleReturnS);
+}
+
+// The machines of one on-demand pool that consolidation looks at.
+struct ConsolidationPool {
+  std::vector<Machine*> up;  // accepting work
+  double freeCpus = 0;
+  double productionCpus = 0;
+  std::size_t draining = 0;
+};
+
+std::map<PoolKey, ConsolidationPool> consolidationPools(const FleetWorld& world) {
+  std::map<PoolKey, ConsolidationPool> pools;
+  for (Machine* machine : world.machines) {
+    if (machine->spot) continue;
+    ConsolidationPool& pool = pools[poolOf(*machine)];
+    if (machine->phase == MachinePhase::draining) ++pool.draining;
+    if (!acceptsWork(*machine)) continue;
+    pool.up.push_back(machine);
+    pool.freeCpus += std::max(0.0, machine->room().vcpus);
+    pool.productionCpus += productionCpus(*machine);
+  }
+  return pools;
+}
+
+// Whether another machine of the pool has the attempt's image and the free capacity for it.
+bool fitsElsewhere(const machines::Attempt& attempt, const Machine& machine, const ConsolidationPool& pool) {
+  return std::any_of(pool.up.begin(), pool.up.end(), [&](const Machine* other) {
+    return other != &machine && other->has(attempt.image) && attempt.each.fitsIn(other->room());
+  });
+}
+
+// Whether every task of the machine is a settled service that fits elsewhere, or a job array task that may
+// end.
+bool isMovable(const FleetWorld& world, const Machine& machine, const ConsolidationPool& pool) {
+  // An empty one is for the idle scale-in.
+  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kVacateAge)
+    return false;
+  for (const machines::Attempt& attempt : machine.attempts) {
+    if (attempt.phase == AttemptPhase::ended) continue;
+    if (attempt.phase != AttemptPhase::running || attempt.stopWanted) return false;
+    if (!attempt.isService) continue;
+    if (world.now - attempt.runningSince < constants::kVacateAge) return false;
+    if (!fitsElsewhere(attempt, machine, pool)) return false;
+  }
+  return true;
+}
+
+// Picks the pool's machines to consolidate, least used first, and appends them to `out`.
+void consolidate(const FleetWorld& world, ConsolidationPool& pool, std::vector<Machine*>& out) {
+  const std::size_t most = 1 + pool.up.size() / constants::kVacateDivisor;
+  const double headroomCpus = pool.productionCpus * world.settings.operators.spareShare;
+  std::sort(pool.up.begin(), pool.up.end(),
+            [](const Machine* a, const Machine* b) { return a->room().vcpus > b->room().vcpus; });
+  for (Machine* machine : pool.up) {
+    if (pool.draining >= most) break;
+    // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
+    // loss of one uses up nothing that the next services need.
+    const double used = machine->total.vcpus - machine->room().vcpus;
+    if (used > machine->total.vcpus * constants::kVacateUsed) break;
+    if (pool.freeCpus - machine->total.vcpus < headroomCpus + constants::kVacateKeep * machine->total.vcpus)
+      break;
+    if (!isMovable(world, *machine, pool)) continue;
+    pool.freeCpus -= machine->total.vcpus;
+    ++pool.draining;
+    out.push_back(machine);
+  }
+}
+
+}  // namespace
+
+Headroom::Headroom(const FleetWorld& world) {
+  double production = 0;
+  for (const Machine* machine : world.machines) {
+    if (machine->phase != MachinePhase::up) continue;
+    production += productionCpus(*machine);
+    if (!machine->spot) freeCpus_ += std::max(0.0, machine->room().vcpus);
+  }
+  wantedCpus_ = production * world.settings.operators.spareShare;
+}
+
+bool Headroom::allowsRelease(const Machine& machine) const {
+  return machine.spot || freeCpus_ - machine.total.vcpus >= wantedCpus_;
+}
+
+void Headroom::release(const Machine& machine) {
+  if (!machine.spot) freeCpus_ -= machine.total.vcpus;
+}
+
+std::vector<Machine*> idleScaleIn(const FleetWorld& world) {
+  Headroom headroom(world);
+  std::vector<Machine*> out;
+  for (Machine* machine : world.machines) {
+    if (!idleTooLong(world, *machine) || !headroom.allowsRelease(*machine)) continue;
+    headroom.release(*machine);
+    out.push_back(machine);
+  }
+  return out;
+}
+
+std::vector<Machine*> consolidationScaleIn(const FleetWorld& world) {
+  if (!world.unmet.empty()) return {};
+  std::map<PoolKey, ConsolidationPool> pools = consolidationPools(world);
+  std::vector<Machine*> out;
+  for (auto& [key, pool] : pools) consolidate(world, pool, out);
+  return out;
+}
+
+}  // namespace reachhoist::fleet
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -1,3 +1,4 @@
+// Sizing rounds: contexts, the step choice, its validation against limits and cooldowns, and its scoring.
 #include "fleet/sizing.hpp"
 
 #include <algorithm>
@@ -22,12 +23,12 @@
 int Sizing::clamp(const PoolView& pool, const PoolState& state, int units, Time now) const {
   units = std::clamp(units, constants::kStepLeast, constants::kStepMost);
   if (units > 0 &&
-      (pool.refused ||
-       (state.lastUp != Time{} && now - state.lastUp < wire::seconds(settings_.operators.scaleUpCooldownS))))
+      (pool.refused || (state.lastScaleOut != Time{} &&
+                        now - state.lastScaleOut < wire::seconds(settings_.operators.scaleUpCooldownS))))
     return 0;
-  if (units < 0 && (pool.returnable == 0 ||
-                    (state.lastDown != Time{} &&
-                     now - state.lastDown < wire::seconds(settings_.operators.scaleDownCooldownS))))
+  if (units < 0 && (pool.releasable == 0 ||
+                    (state.lastScaleIn != Time{} &&
+                     now - state.lastScaleIn < wire::seconds(settings_.operators.scaleDownCooldownS))))
     return 0;
   return units;
 }
@@ -47,16 +48,45 @@
 }
 
 void Sizing::score(const PoolView& pool, PoolState& state) {
-  if (!state.open) return;
+  if (!state.unscored) return;
   // Machines that never came show nothing of what the step would have brought.
-  if (state.open->before.units > 0 && pool.late > 0) return state.open.reset();
-  Outcome outcome = state.open->before;
+  if (state.unscored->before.units > 0 && pool.overdue > 0) return state.unscored.reset();
+  Outcome outcome = state.unscored->before;
   outcome.waitAfterS = pool.queueWaitS;
   outcome.costAfter = pool.machines * pool.ratePerHour;
   const double value = payoff(outcome, frontier_);
-  buffer_.add(Episode{state.open->context, outcome.units, value});
+  buffer_.add(Episode{state.unscored->context, outcome.units, value});
   frontier_.update(normalised(outcome));
-  state.open.reset();
+  state.unscored.reset();
+}
+
+Sizing::Decision Sizing::decide(const PoolView& pool, const Context& context) {
+  if (std::bernoulli_distribution(probeChance_)(random_)) {
+    return Decision{std::uniform_int_distribution<int>(constants::kStepLeast, constants::kStepMost)(random_),
+                    "probe"};
+  }
+  const auto retrieved = buffer_.retrieve(context, static_cast<std::size_t>(settings_.operators.episodes));
+  if (const auto choice = choose(retrieved, context))
+    return Decision{choice->units, "episodes:" + std::to_string(choice->support) +
+                                       ",value:" + std::to_string(choice->value)};
+  return Decision{followQueue(pool), "queue"};
+}
+
+Outcome Sizing::outcomeBefore(const PoolView& pool, int units) const {
+  Outcome before;
+  before.waitBeforeS = pool.queueWaitS;
+  before.waitBaselineS = constants::kWaitMostTargets * targetS();
+  before.waitMostS = before.waitBaselineS;
+  before.targetS = targetS();
+  before.costBefore = pool.machines * pool.ratePerHour;
+  // A step of a large pool is weighed against that pool: against a few machines' money any would look
+  // ruinous.
+  const double rate = std::max(pool.ratePerHour, 1e-6);
+  before.costBudget = std::max<double>(constants::kPoolSmall, pool.machines) * rate;
+  const double grown = pool.machines * (1.0 + 1.0 * constants::kStepMost / constants::kStepDivisor);
+  before.costMost = std::max(constants::kPoolSmall, grown) * rate;
+  before.units = units;
+  return before;
 }
 
 std::vector<Step> Sizing::round(Time now, const std::vector<PoolView>& pools) {
@@ -65,48 +95,21 @@
   for (const PoolView& pool : pools) {
     PoolState& state = states_[pool.key];
     score(pool, state);
-    // A pool of zero has no eighth: how it starts is the shortfall extension's affair.
+    // A pool of zero has no eighth: how it starts is for the scale-out for unmet work.
     if (pool.machines == 0) continue;
     const Context context = contextOf(pool);
-    int units = 0;
-    std::string why;
-    if (std::bernoulli_distribution(probeChance_)(random_)) {
-      units = std::uniform_int_distribution<int>(constants::kStepLeast, constants::kStepMost)(random_);
-      why = "probe";
-    } else {
-      const auto retrieved =
-          buffer_.retrieve(context, static_cast<std::size_t>(settings_.operators.episodes));
-      if (const auto choice = choose(retrieved, context)) {
-        units = choice->units;
-        why = "episodes:" + std::to_string(choice->support) + ",value:" + std::to_string(choice->value);
-      } else {
-        units = followQueue(pool);
-        why = "queue";
-      }
-    }
-    units = clamp(pool, state, units, now);
-    Outcome before;
-    before.waitBeforeS = pool.queueWaitS;
-    before.waitBaselineS = constants::kWaitMostTargets * targetS();
-    before.waitMostS = before.waitBaselineS;
-    before.targetS = targetS();
-    before.costBefore = pool.machines * pool.ratePerHour;
-    // A step of a large pool is weighed against that pool: against a few machines' money any would look
-    // ruinous.
-    const double rate = std::max(pool.ratePerHour, 1e-6);
-    before.costBudget = std::max<double>(constants::kPoolSmall, pool.machines) * rate;
-    const double grown = pool.machines * (1.0 + 1.0 * constants::kStepMost / constants::kStepDivisor);
-    before.costMost = std::max(constants::kPoolSmall, grown) * rate;
-    before.units = units;
-    state.open = Open{context, before};
+    Decision decision = decide(pool, context);
+    const int units = clamp(pool, state, decision.units, now);
+    state.unscored = UnscoredStep{context, outcomeBefore(pool, units)};
     if (units == 0) continue;
-    Step step{pool.key, units, units * unitOf(pool.machines, settings_.operators.stepDivisor), why};
+    Step step{pool.key, units, units * unitOf(pool.machines, settings_.operators.stepDivisor),
+              std::move(decision.why)};
     if (units > 0) {
-      state.previousUp = state.lastUp;
-      state.lastUp = now;
+      state.previousScaleOut = state.lastScaleOut;
+      state.lastScaleOut = now;
     } else {
-      step.machines = -std::min(-step.machines, pool.returnable);
-      state.lastDown = now;
+      step.machines = -std::min(-step.machines, pool.releasable);
+      state.lastScaleIn = now;
     }
     steps.push_back(std::move(step));
   }
@@ -114,19 +117,19 @@
   return steps;
 }
 
-void Sizing::refused(const PoolKey& pool) {
+void Sizing::onScaleOutRefused(const PoolKey& pool) {
   PoolState& state = states_[pool];
-  state.lastUp = state.previousUp;
-  state.open.reset();
+  state.lastScaleOut = state.previousScaleOut;
+  state.unscored.reset();
 }
 
-Json Sizing::encode(std::size_t valueRoom) const {
+Json Sizing::encode(std::size_t valueSizeLimit) const {
   Json points = Json::array();
   for (const Point& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
   Json out{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
   for (std::size_t most = constants::kCopyMost; most > 0; most /= 2) {
     out["episodes"] = buffer_.encode(most);
-    if (out.dump().size() <= valueRoom) break;
+    if (out.dump().size() <= valueSizeLimit) break;
     out["episodes"] = Json::array();
   }
   return out;
--- a/src/fleet/sizing.hpp
+++ b/src/fleet/sizing.hpp
@@ -1,4 +1,5 @@
-// The ordinary path of fleet sizing: rounds of clamped, pool-scaled steps with cooldowns.
+// The sizing rounds of fleet autoscaling: per pool, a clamped step of a few units, chosen by a probe, by the
+// episodes retrieved for the pool's context, or by the queue, with cooldowns between steps (after SAIR).
 #pragma once
 
 #include <map>
@@ -11,51 +12,64 @@
 
 namespace reachhoist::fleet {
 
+// The step that a round chose for a pool.
 struct Step {
   PoolKey pool;
   int units = 0;     // -1, 0, 1 or 2
-  int machines = 0;  // units times the unit of this pool
-  std::string why;
+  int machines = 0;  // units times the unit of this pool; negative for a scale-in
+  std::string why;   // "probe", "queue" or the support and value of the episodes
 };
 
-// A unit is an eighth of the pool, at least one machine.
-// Rises by the machine in small pools, by the doubling in large ones, so that it tells hundreds from dozens.
+// The size feature of a context: rises by the machine in small pools and by the doubling in large ones, so
+// that it tells hundreds from dozens.
 double sizeFeature(int machines);
+// A unit is a `divisor`th of the pool (an eighth by default), at least one machine.
 int unitOf(int machines, int divisor);
 
+// The sizing state of one leader: episode buffer, Pareto frontier, probe chance and cooldowns per pool.
 class Sizing {
  public:
   Sizing(const config::Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {
     probeChance_ = settings.operators.probeChance;
   }
 
+  // Whether the next round is due.
   bool due(Time now) const { return now >= next_; }
+  // Scores the steps of the last round and chooses the next ones; pools without a step are left out.
   std::vector<Step> round(Time now, const std::vector<PoolView>& pools);
-  // A rental of the last round was refused: it counts as no step, and its episode is dropped.
-  void refused(const PoolKey& pool);
+  // An instance request of the last round was refused: it counts as no step, and its episode is dropped.
+  void onScaleOutRefused(const PoolKey& pool);
 
-  const Buffer& buffer() const { return buffer_; }
-  const Frontier& frontier() const { return frontier_; }
+  const EpisodeBuffer& buffer() const { return buffer_; }
+  const ParetoFrontier& frontier() const { return frontier_; }
   double probeChance() const { return probeChance_; }
-  // The copy for a new leader, with as many episodes as a value of so many bytes holds.
-  Json encode(std::size_t valueRoom) const;
+  // The copy for a new leader, with as many episodes as fit into `valueSizeLimit` bytes of JSON.
+  Json encode(std::size_t valueSizeLimit) const;
+  // False: malformed, nothing was taken.
   bool decode(const Json& value);
 
  private:
   // A step that waits for its settling window, one round, to be scored.
-  struct Open {
+  struct UnscoredStep {
     Context context{};
     Outcome before;
   };
   struct PoolState {
-    Time lastUp{};
-    Time lastDown{};
-    Time previousUp{};
-    std::optional<Open> open;
+    Time lastScaleOut{};
+    Time lastScaleIn{};
+    Time previousScaleOut{};
+    std::optional<UnscoredStep> unscored;
+  };
+  // The units of a step before clamping, and why.
+  struct Decision {
+    int units = 0;
+    std::string why;
   };
   Context contextOf(const PoolView& pool) const;
+  Decision decide(const PoolView& pool, const Context& context);
   int clamp(const PoolView& pool, const PoolState& state, int units, Time now) const;
   int followQueue(const PoolView& pool) const;
+  Outcome outcomeBefore(const PoolView& pool, int units) const;
   void score(const PoolView& pool, PoolState& state);
 
   const config::Settings& settings_;
@@ -63,8 +77,8 @@
   double probeChance_ = 0;
   Time next_{};
   std::map<PoolKey, PoolState> states_;
-  Buffer buffer_;
-  Frontier frontier_;
+  EpisodeBuffer buffer_;
+  ParetoFrontier frontier_;
 };
 
 }  // namespace reachhoist::fleet
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -243,7 +243,7 @@
       if (job->tasks[attempt.task.index] == jobs::TaskPhase::waiting)
         job->to(attempt.task.index, jobs::TaskPhase::placed, context_.now);
     }
-    if (machine.phase == MachinePhase::returning) cloud_->giveBack(context_.now, host);
+    if (machine.phase == MachinePhase::returning) cloud_->release(context_.now, host);
   }
   adoptGangs();
   to(State::acting);
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -36,7 +36,7 @@
       if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open())
         job->gang.rentalFellShort(context_.now);
     refusedUntil_[pool] = context_.now + constants::kRefusedPause;
-    if (hosts.empty()) sizing_.refused(pool);
+    if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
   context_.event(Level::info, "rented",
                  {{"pool", pool.str()}, {"machines", hosts.size()}, {"refused", refused}});
@@ -138,10 +138,10 @@
     if (machine.phase != MachinePhase::booting) continue;
     const auto age = context_.now - machine.rentedAt;
     const auto patience =
-        boots_.patience(machine.machineType, machine.zone, bootSecondsOf(machine), context_.now);
+        boots_.bootTimeout(machine.machineType, machine.zone, bootSecondsOf(machine), context_.now);
     if (age <= patience) continue;
-    if (age <= constants::kBootAllSlow * patience && !cohorts.leftBehind(machine)) continue;
-    boots_.gaveUp(machine.machineType, machine.zone, context_.now);
+    if (age <= constants::kBootAllSlow * patience && !cohorts.lagsCohort(machine)) continue;
+    boots_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
     condemn(machine, "never came up");
   }
 }
@@ -195,7 +195,7 @@
 
 void Leader::rent(const cloud::PoolKey& pool, int count, const char* why) {
   context_.event(Level::info, "rent", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
-  cloud_->rent(context_.now, pool, static_cast<std::size_t>(count));
+  cloud_->requestInstances(context_.now, pool, static_cast<std::size_t>(count));
 }
 
 void Leader::sizeFleet() {
@@ -205,7 +205,7 @@
   if (context_.now - actingSince_ < settle && !machines_.all().empty()) return;
   if (sizing_.due(context_.now)) {
     const auto world = fleetWorld();
-    fleet::SpareRoom spare(world);
+    fleet::Headroom spare(world);
     for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(world))) {
       context_.event(
           Level::info, "step",
@@ -216,8 +216,8 @@
         if (left <= 0) break;
         if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) continue;
         if (cloud::PoolKey{machine.machineType, machine.zone, machine.spot} != step.pool) continue;
-        if (!spare.staysWithout(machine)) break;
-        spare.take(machine);
+        if (!spare.allowsRelease(machine)) break;
+        spare.release(machine);
         retire(machine, "step down");
         --left;
       }
@@ -226,16 +226,17 @@
   if (context_.now < nextShortfall_) return;
   nextShortfall_ = context_.now + constants::kShortfallEvery;
   auto world = fleetWorld();
-  for (const fleet::Rental& rental : fleet::shortfall(world)) {
+  for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForUnmetWork(world)) {
     rent(rental.pool, rental.count, "shortfall");
     for (const jobs::Job* gang : rental.gangs) gangRentals_[rental.pool].insert(gang->spec.ref.text);
     world.pending[rental.pool] += static_cast<std::size_t>(rental.count);
   }
-  for (const fleet::Rental& rental : fleet::reserve(world)) rent(rental.pool, rental.count, "reserve");
-  for (Machine* machine : fleet::idleReturns(world)) retire(*machine, "idle");
+  for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForReserve(world))
+    rent(rental.pool, rental.count, "reserve");
+  for (Machine* machine : fleet::idleScaleIn(world)) retire(*machine, "idle");
   if (context_.now < nextVacation_ || context_.now - actingSince_ < constants::kVacateAge) return;
   nextVacation_ = context_.now + constants::kVacateEvery;
-  for (Machine* machine : fleet::vacations(world)) retire(*machine, "vacated", true);
+  for (Machine* machine : fleet::consolidationScaleIn(world)) retire(*machine, "vacated", true);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader_heartbeats.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -45,7 +45,7 @@
   describe(*machine);
   if (machine->phase == MachinePhase::booting) {
     machine->to(MachinePhase::up, context_.now);
-    boots_.came(report.machineType, report.zone, context_.now - machine->rentedAt, context_.now);
+    boots_.recordBoot(report.machineType, report.zone, context_.now - machine->rentedAt, context_.now);
     context_.event(Level::info, "machine_up",
                    {{"machine", report.host.text},
                     {"type", report.machineType},
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -246,7 +246,7 @@
                        machine->recordBusy = false;
                        if (!applied) continue;
                        machine->to(MachinePhase::returning, context_.now);
-                       cloud_->giveBack(context_.now, host);
+                       cloud_->release(context_.now, host);
                      }
                      if (!applied) refusedBy(outcome, "retiring");
                    });
