--- a/src/fleet/episodes.cpp
+++ b/src/fleet/episodes.cpp
@@ -86,7 +86,7 @@
   if (episodes_.size() > k::kBufferMost) episodes_.erase(episodes_.begin());
 }
 
-std::vector<Episode> EpisodeBuffer::retrieve(const Context& now, std::size_t count) const {
+std::vector<double> EpisodeBuffer::relevance(const Context& now) const {
   double sum = 0;
   for (const Episode& episode : episodes_) sum += episode.payoff;
   const std::size_t n = episodes_.size();
@@ -95,6 +95,12 @@
     const double others = n > 1 ? (sum - episodes_[i].payoff) / static_cast<double>(n - 1) : 0;
     score[i] = similarity(episodes_[i].context, now) * std::abs(episodes_[i].payoff - others);
   }
+  return score;
+}
+
+std::vector<Episode> EpisodeBuffer::retrieve(const Context& now, std::size_t count) const {
+  const std::vector<double> score = relevance(now);
+  const std::size_t n = episodes_.size();
   std::vector<bool> taken(n, false);
   std::vector<Episode> out;
   while (out.size() < count) {
--- a/src/fleet/episodes.hpp
+++ b/src/fleet/episodes.hpp
@@ -88,6 +88,9 @@
   bool decode(const Json& value);
 
  private:
+  // Per episode: similarity to `now` times leave-one-out surprise of its payoff.
+  std::vector<double> relevance(const Context& now) const;
+
   std::vector<Episode> episodes_;
 };
 
--- a/tests/unit/cloud_test.cpp
+++ b/tests/unit/cloud_test.cpp
@@ -52,7 +52,7 @@
 };
 
 // A large scale-out goes out in several instance requests. Once the pool has refused one, the others of the
-// same pool would only use up the rate that other pools and returns need.
+// same pool would only use up the rate that other pools and releases need.
 TEST_F(CloudTest, ARefusedPoolIsNotAskedForTheRestOfAScaleOut) {
   const Json none{{"error", "no capacity"}};
   client.requestInstances(now, pool, 500);
--- a/tests/unit/pools_test.cpp
+++ b/tests/unit/pools_test.cpp
@@ -147,7 +147,7 @@
   EXPECT_EQ(requests[0].count, 3);
   ASSERT_EQ(requests[0].gangs.size(), 1U);
   EXPECT_EQ(requests[0].gangs[0], &gang);
-  // One machine is coming in a zone that gives no more.
+  // One instance is pending in a zone that has no more capacity.
   add(requests[0].pool.zone, 0).phase = MachinePhase::booting;
   auto scarce = world();
   scarce.unmet.push_back(placement::Unmet{&gang, 3});
