--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "config/settings.hpp"
-#include "state/budget.hpp"
+#include "state/token_bucket.hpp"
 #include "wire/exchange.hpp"
 
 namespace reachhoist::cloud {
@@ -65,7 +65,7 @@
   const config::Settings& settings_;
   std::string lifeName_;
   Handlers handlers_;
-  state::Budget budget_;
+  state::TokenBucket budget_;
   Time now_{};
   std::uint64_t counter_ = 0;
   std::vector<std::shared_ptr<Rental>> rentals_;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kReadChunk = 16 * 1024;  // bytes
 constexpr int kTooLarge = 413;                 // the parser's word for a body over the limit
 
-// A kept connection on which the other side has sent an end (or anything at all) is of no more use.
+// A pooled connection on which the other side has sent an end (or anything at all) is of no more use.
 bool stillOpen(int fd) {
   char byte = 0;
   const ssize_t got = ::recv(fd, &byte, 1, MSG_PEEK);
@@ -23,11 +23,11 @@
 }  // namespace
 
 HttpClient::HttpClient(Reactor& reactor, std::size_t socketsMost)
-    : reactor_(reactor), kept_(socketsMost, constants::kPoolPerEndpoint, constants::kPoolIdle) {}
+    : reactor_(reactor), pool_(socketsMost, constants::kPoolPerEndpoint, constants::kPoolIdle) {}
 
-std::unique_ptr<Socket> HttpClient::takeKept(const std::string& endpoint) {
+std::unique_ptr<Socket> HttpClient::takePooled(const std::string& endpoint) {
   for (;;) {
-    auto socket = kept_.take(endpoint, reactor_.now());
+    auto socket = pool_.take(endpoint, reactor_.now());
     if (!socket || stillOpen(socket->fd())) return socket;
   }
 }
@@ -44,10 +44,10 @@
     Use(const Use&) = delete;
     ~Use() { --count; }
   };
-  std::unique_ptr<Socket> socket = takeKept(endpoint);
+  std::unique_ptr<Socket> socket = takePooled(endpoint);
   const Use use(inUse_);
   if (!socket) {
-    kept_.makeRoom(inUse_);
+    pool_.makeRoom(inUse_);
     const Time connectBy = std::min(deadline, reactor_.now() + constants::kConnectTimeout);
     socket = co_await connectTo(reactor_, address, connectBy);
   }
@@ -72,7 +72,7 @@
   result.status = parser.message().status;
   result.retryAfterS = parser.message().retryAfterS;
   result.body = std::move(parser.message().body);
-  if (parser.message().keepAlive) kept_.keep(endpoint, std::move(socket), inUse_ - 1, reactor_.now());
+  if (parser.message().keepAlive) pool_.keep(endpoint, std::move(socket), inUse_ - 1, reactor_.now());
   co_return result;
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
+#include "net/connection_pool.hpp"
 #include "net/http_parser.hpp"
-#include "net/kept.hpp"
 #include "net/reactor.hpp"
 
 namespace reachhoist::net {
@@ -26,11 +26,11 @@
                           std::chrono::milliseconds timeout);
 
  private:
-  std::unique_ptr<Socket> takeKept(const std::string& endpoint);
+  std::unique_ptr<Socket> takePooled(const std::string& endpoint);
 
   Reactor& reactor_;
   std::size_t inUse_ = 0;
-  KeptConnections<std::unique_ptr<Socket>> kept_;
+  ConnectionPool<std::unique_ptr<Socket>> pool_;
 };
 
 }  // namespace reachhoist::net
--- a/src/state/client.hpp
+++ b/src/state/client.hpp
@@ -5,7 +5,7 @@
 #include <deque>
 
 #include "config/settings.hpp"
-#include "state/budget.hpp"
+#include "state/token_bucket.hpp"
 #include "wire/exchange.hpp"
 
 namespace reachhoist::state {
@@ -69,8 +69,8 @@
 
   wire::Calls& calls_;
   const config::Settings& settings_;
-  Budget requests_;
-  Budget writes_;
+  TokenBucket requests_;
+  TokenBucket writes_;
   std::array<std::deque<Queued>, 5> queues_;
 };
 
