--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -13,13 +13,15 @@
       settings_(settings),
       handlers_(std::move(handlers)),
       feed_(client, kPrefix, state::Urgency::lease, constants::kConfirmEvery,
-            {[this](const auto& key, const Json* value, std::uint64_t stamp) { onEntry(key, value, stamp); },
+            {[this](const auto& key, const Json* value, std::uint64_t revision) {
+               onEntry(key, value, revision);
+             },
              [this] {
                leader_.clear();
-               leaderStamp_ = 0;
+               leaderRevision_ = 0;
              },
              [this] { onCaughtUp(); }}),
-      random_(seed),
+      jitter_(seed),
       parts_(std::max(settings.partsAtFirst, 1U)) {}
 
 void Leadership::start(Time now) {
@@ -30,7 +32,7 @@
 void Leadership::tick(Time now) {
   now_ = now;
   feed_.tick(now);
-  if (state_ == State::waiting && now >= nextTry_) {
+  if (state_ == State::waiting && now >= nextAttemptAt_) {
     if (!leader_.empty() && leader_ != settings_.label) {
       // Somebody was faster while our own try was under way. Its stamps would let the next try take the lead
       // from it.
@@ -41,24 +43,25 @@
       lease();
     }
   }
-  if (state_ == State::taking && !takingCall_ && now >= retryTaking_) takeParts();
-  if ((state_ == State::leading || state_ == State::taking) && !renewing_ && now >= nextRenew_) renew();
+  if (state_ == State::taking && !acquireInFlight_ && now >= retryAcquireAt_) acquirePartitions();
+  if ((state_ == State::leading || state_ == State::taking) && !renewInFlight_ && now >= nextRenewAt_)
+    renew();
 }
 
 std::optional<std::pair<state::Condition, state::Write>> Leadership::raiseLayout() const {
-  if (layoutRaised() || termStamp_ == 0 || term_ == 0) return std::nullopt;
+  if (layoutRaised() || termRevision_ == 0 || term_ == 0) return std::nullopt;
   return std::pair{
-      state::Condition{kTermKey, termStamp_},
+      state::Condition{kTermKey, termRevision_},
       state::Write{kTermKey, Json{{"term", term_}, {"parts", parts_}, {"layout", constants::kLayoutGangs}},
                    std::nullopt}};
 }
 
-void Leadership::onEntry(const std::string& key, const Json* value, std::uint64_t stamp) {
+void Leadership::onEntry(const std::string& key, const Json* value, std::uint64_t revision) {
   if (key == kLeaderKey) {
     leader_ = value != nullptr ? wire::textField(*value, "label").value_or("") : "";
-    leaderStamp_ = value != nullptr ? stamp : 0;
+    leaderRevision_ = value != nullptr ? revision : 0;
   } else if (key == kTermKey && value != nullptr) {
-    termStamp_ = stamp;
+    termRevision_ = revision;
     const auto term = wire::countField(*value, "term").value_or(0);
     if (state_ != State::leading && state_ != State::taking) term_ = std::max(term_, term);
     if (const auto parts = wire::countField(*value, "parts"); parts && *parts > 0)
@@ -85,10 +88,10 @@
   if (state_ == State::refusing) return;
   if (state_ == State::leading) {
     // The feed may be older than our own election, so only what is newer counts.
-    if (leaderStamp_ > ownStamp_ && leader_ != settings_.label) depose("another controller leads");
+    if (leaderRevision_ > ownRevision_ && leader_ != settings_.label) depose("another controller leads");
     return;
   }
-  if (state_ == State::taking && leaderStamp_ > ownStamp_ && leader_ != settings_.label) {
+  if (state_ == State::taking && leaderRevision_ > ownRevision_ && leader_ != settings_.label) {
     leaseId_ = 0;
     return abandonTaking();
   }
@@ -102,9 +105,9 @@
 
 void Leadership::pause() {
   std::uniform_int_distribution<long> spread(0, constants::kElectionSpread.count());
-  const bool urgent = nextTry_ == Time{} || now_ >= nextTry_;
-  nextTry_ = now_ + std::chrono::milliseconds(spread(random_)) +
-             (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetry);
+  const bool urgent = nextAttemptAt_ == Time{} || now_ >= nextAttemptAt_;
+  nextAttemptAt_ = now_ + std::chrono::milliseconds(spread(jitter_)) +
+                   (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetry);
   to(State::waiting);
 }
 
@@ -114,7 +117,7 @@
     if (state_ != State::leasing) return;
     const auto leaseId = wire::countField(result.body, "permit");
     if (!result.ok() || !leaseId) {
-      nextTry_ = now_ + constants::kElectionRetry;
+      nextAttemptAt_ = now_ + constants::kElectionRetry;
       to(State::waiting);
       return;
     }
@@ -132,62 +135,64 @@
   const std::uint64_t term = term_ + 1;
   const Time sent = now_;
   state::Transaction transaction;
-  transaction.conditions = {{kLeaderKey, leaderStamp_}, {kTermKey, termStamp_}};
+  transaction.conditions = {{kLeaderKey, leaderRevision_}, {kTermKey, termRevision_}};
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
   transaction.writes.push_back(
       {kTermKey, Json{{"term", term}, {"parts", parts_}, {"layout", layout_}}, std::nullopt});
-  const bool atOnce = parts_ + 2 <= settings_.stateTxnOps;
-  for (Part part = 0; atOnce && part < parts_; ++part)
+  const bool partitionsInElection = parts_ + 2 <= settings_.stateTxnOps;
+  for (Part part = 0; partitionsInElection && part < parts_; ++part)
     transaction.writes.push_back(
         {partKey(part), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt});
-  client_.multi(now_, state::Urgency::lease, transaction, [this, term, sent, atOnce](const auto& result) {
-    if (state_ != State::campaigning) return;
-    if (!result.ok()) {
-      // The lease may have run out during the wait. Without an answer the feed tells who leads.
-      if (result.status == 400) leaseId_ = 0;  // it holds only what every limit allows, so it is the lease
-      nextTry_ = now_ + constants::kElectionRetry;
-      to(State::waiting);
-      return;
-    }
-    ownStamp_ = wire::countField(result.body, "ledger").value_or(0);
-    term_ = term;
-    leader_ = settings_.label;
-    leaderStamp_ = ownStamp_;
-    termStamp_ = ownStamp_;
-    confirmedAt_ = sent;
-    nextRenew_ = now_ + constants::kLeaderRenew;
-    client_.setLeading(true);
-    partStamps_.assign(atOnce ? parts_ : 0, ownStamp_);
-    to(State::taking);
-    takeParts();
-  });
+  client_.multi(now_, state::Urgency::lease, transaction,
+                [this, term, sent, partitionsInElection](const auto& result) {
+                  if (state_ != State::campaigning) return;
+                  if (!result.ok()) {
+                    // The lease may have run out during the wait. Without an answer the feed tells who leads.
+                    if (result.status == 400)
+                      leaseId_ = 0;  // it holds only what every limit allows, so it is the lease
+                    nextAttemptAt_ = now_ + constants::kElectionRetry;
+                    to(State::waiting);
+                    return;
+                  }
+                  ownRevision_ = wire::countField(result.body, "ledger").value_or(0);
+                  term_ = term;
+                  leader_ = settings_.label;
+                  leaderRevision_ = ownRevision_;
+                  termRevision_ = ownRevision_;
+                  confirmedAt_ = sent;
+                  nextRenewAt_ = now_ + constants::kLeaderRenew;
+                  client_.setLeading(true);
+                  partitionRevisions_.assign(partitionsInElection ? parts_ : 0, ownRevision_);
+                  to(State::taking);
+                  acquirePartitions();
+                });
 }
 
 // A deposed owner's writes depend on all parts, so that one taken part already stops it; and each transaction
 // depends on the term's record, so that a late one of an earlier term changes nothing.
-void Leadership::takeParts() {
-  if (partStamps_.size() >= parts_) {
+void Leadership::acquirePartitions() {
+  if (partitionRevisions_.size() >= parts_) {
     to(State::leading);
-    handlers_.elected(term_, partStamps_);
+    handlers_.elected(term_, partitionRevisions_);
     return;
   }
-  takingCall_ = true;
-  const auto from = static_cast<Part>(partStamps_.size());
+  acquireInFlight_ = true;
+  const auto from = static_cast<Part>(partitionRevisions_.size());
   const Part end = std::min<Part>(parts_, from + settings_.stateTxnOps);
   state::Transaction transaction;
-  transaction.conditions = {{kTermKey, ownStamp_}};
+  transaction.conditions = {{kTermKey, ownRevision_}};
   for (Part part = from; part < end; ++part)
     transaction.writes.push_back(
         {partKey(part), Json{{"owner", settings_.label}, {"term", term_}}, std::nullopt});
   client_.multi(now_, state::Urgency::lease, transaction,
                 [this, end, term = term_](const wire::CallResult& result) {
-                  takingCall_ = false;
+                  acquireInFlight_ = false;
                   if (state_ != State::taking || term != term_) return;
                   if (result.ok()) {
-                    partStamps_.resize(end, wire::countField(result.body, "ledger").value_or(0));
-                    return takeParts();
+                    partitionRevisions_.resize(end, wire::countField(result.body, "ledger").value_or(0));
+                    return acquirePartitions();
                   }
-                  retryTaking_ = now_ + constants::kStateBackoff;
+                  retryAcquireAt_ = now_ + constants::kStateBackoff;
                   // Carried out late it would move the stamps that our own writes depend on: only the next
                   // term, whose record it can't pass, is safe from that.
                   if (result.status != 429 && result.status != 503) abandonTaking();
@@ -196,17 +201,17 @@
 
 void Leadership::abandonTaking() {
   client_.setLeading(false);
-  nextTry_ = now_ + constants::kElectionRetry;
+  nextAttemptAt_ = now_ + constants::kElectionRetry;
   to(State::waiting);
 }
 
 void Leadership::renew() {
-  renewing_ = true;
+  renewInFlight_ = true;
   const Time sent = now_;
   client_.touchLease(now_, leaseId_, [this, sent, leaseId = leaseId_](const wire::CallResult& result) {
-    renewing_ = false;
+    renewInFlight_ = false;
     if ((state_ != State::leading && state_ != State::taking) || leaseId != leaseId_) return;
-    nextRenew_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
+    nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
     if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
     if (result.status == 404 && state_ == State::taking) {
       leaseId_ = 0;
@@ -225,7 +230,7 @@
   if (state_ != State::leading) return;
   client_.endLease(now_, leaseId_);
   depose(why);
-  nextTry_ = now_ + constants::kStepDownPause;
+  nextAttemptAt_ = now_ + constants::kStepDownPause;
 }
 
 void Leadership::resign(const char* why) {
@@ -233,7 +238,7 @@
   to(State::observing);
   client_.setLeading(false);
   handlers_.deposed(why);
-  nextTry_ = now_ + constants::kElectionRetry;
+  nextAttemptAt_ = now_ + constants::kElectionRetry;
   to(State::waiting);
 }
 
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -12,51 +12,51 @@
 void Feed::start(Time now) {
   now_ = now;
   to(State::listing);
-  after_.clear();
-  firstPage_ = true;
+  lastListedKey_.clear();
+  atFirstPage_ = true;
   list();
 }
 
 void Feed::tick(Time now) {
   now_ = now;
   if (now >= retryAt_) {
-    if (state_ == State::listing && !calling_) list();
-    if (state_ == State::following && !watching_) watch();
+    if (state_ == State::listing && !listInFlight_) list();
+    if (state_ == State::following && !watchInFlight_) watch();
   }
   // Nobody may be waiting: a failing service is tried all the same, and what is known is kept fresh.
   const auto stale = failing_ ? constants::kStateBackoff : constants::kFreshFor;
-  if (!waiting_.empty() || (state_ == State::following && now - triedAt_ > stale)) sendConfirm();
+  if (!waiting_.empty() || (state_ == State::following && now - lastConfirmAt_ > stale)) sendConfirm();
 }
 
 void Feed::list() {
-  calling_ = true;
-  if (firstPage_) listedFrom_ = now_;
-  client_.list(now_, urgency_, prefix_, after_,
+  listInFlight_ = true;
+  if (atFirstPage_) listedFrom_ = now_;
+  client_.list(now_, urgency_, prefix_, lastListedKey_,
                [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                  if (!alive.lock()) return;
-                 calling_ = false;
+                 listInFlight_ = false;
                  onPage(result);
                });
 }
 
 void Feed::onPage(const wire::CallResult& result) {
   const Json* pairs = wire::field(result.body, "pairs");
-  const auto ledger = wire::countField(result.body, "ledger");
-  if (!result.ok() || pairs == nullptr || !pairs->is_array() || !ledger) {
+  const auto revision = wire::countField(result.body, "ledger");
+  if (!result.ok() || pairs == nullptr || !pairs->is_array() || !revision) {
     retryAt_ = now_ + constants::kStateBackoff;
     return;
   }
-  if (firstPage_) {
+  if (atFirstPage_) {
     // Changes during the listing are replayed from the first page's revision on.
-    ledger_ = *ledger;
+    revision_ = *revision;
     if (handlers_.listingBegins) handlers_.listingBegins();
   }
-  firstPage_ = false;
+  atFirstPage_ = false;
   for (const Json& pair : *pairs) {
     const auto key = wire::textField(pair, "key");
     const Json* value = wire::field(pair, "value");
     if (!key || value == nullptr) continue;
-    after_ = *key;
+    lastListedKey_ = *key;
     handlers_.entry(*key, value, wire::countField(pair, "stamp").value_or(0));
   }
   if (wire::flagField(result.body, "more").value_or(false) && !pairs->empty()) return list();
@@ -65,22 +65,22 @@
   confirmedAt_ = std::max(confirmedAt_, listedFrom_);
   to(State::following);
   if (handlers_.caughtUp) handlers_.caughtUp();
-  if (!watching_) watch();
+  if (!watchInFlight_) watch();
 }
 
-bool Feed::take(const Json& answer) {
-  const Json* news = wire::field(answer, "news");
-  const auto ledger = wire::countField(answer, "ledger");
-  if (news == nullptr || !news->is_array() || !ledger) return false;
-  const std::uint64_t known = ledger_;
-  ledger_ = std::max(ledger_, *ledger);
-  for (const Json& item : *news) {
-    const std::uint64_t stamp = wire::countField(item, "stamp").value_or(0);
-    if (stamp <= known) continue;
+bool Feed::applyChanges(const Json& answer) {
+  const Json* events = wire::field(answer, "news");
+  const auto revision = wire::countField(answer, "ledger");
+  if (events == nullptr || !events->is_array() || !revision) return false;
+  const std::uint64_t known = revision_;
+  revision_ = std::max(revision_, *revision);
+  for (const Json& item : *events) {
+    const std::uint64_t revision = wire::countField(item, "stamp").value_or(0);
+    if (revision <= known) continue;
     if (const auto written = wire::textField(item, "write")) {
-      if (const Json* value = wire::field(item, "value")) handlers_.entry(*written, value, stamp);
+      if (const Json* value = wire::field(item, "value")) handlers_.entry(*written, value, revision);
     } else if (const auto deleted = wire::textField(item, "delete")) {
-      handlers_.entry(*deleted, nullptr, stamp);
+      handlers_.entry(*deleted, nullptr, revision);
     }
   }
   if (handlers_.caughtUp) handlers_.caughtUp();
@@ -92,14 +92,14 @@
 bool Feed::mustList(const wire::CallResult& result) { return result.status == 410 || result.tooLarge; }
 
 void Feed::watch() {
-  watching_ = true;
-  client_.changes(now_, urgency_, prefix_, ledger_, constants::kWatchBlock,
+  watchInFlight_ = true;
+  client_.changes(now_, urgency_, prefix_, revision_, constants::kWatchBlock,
                   [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                     if (!alive.lock()) return;
-                    watching_ = false;
+                    watchInFlight_ = false;
                     if (state_ != State::following) return;
                     if (mustList(result)) return start(now_);
-                    if (!result.ok() || !take(result.body)) {
+                    if (!result.ok() || !applyChanges(result.body)) {
                       retryAt_ = now_ + constants::kStateBackoff;
                       return;
                     }
@@ -119,22 +119,22 @@
 }
 
 void Feed::sendConfirm() {
-  if (confirming_) return;
+  if (confirmInFlight_) return;
   if (state_ != State::following) return failWaiting();
   if (now_ < nextConfirm_) return;
-  confirming_ = true;
+  confirmInFlight_ = true;
   nextConfirm_ = now_ + confirmGap_;
-  triedAt_ = now_;
+  lastConfirmAt_ = now_;
   const Time sent = now_;
-  client_.changes(now_, Urgency::lease, prefix_, ledger_, std::chrono::milliseconds(0),
+  client_.changes(now_, Urgency::lease, prefix_, revision_, std::chrono::milliseconds(0),
                   [this, sent, batch = std::exchange(waiting_, {}),
                    alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                     if (!alive.lock()) return;
-                    confirming_ = false;
+                    confirmInFlight_ = false;
                     if (mustList(result)) start(now_);
                     // A listing begun meanwhile starts from a later revision: what this answer brings would
                     // be passed over, and its keys may stand on a page that has not been read.
-                    const bool ok = state_ == State::following && result.ok() && take(result.body);
+                    const bool ok = state_ == State::following && result.ok() && applyChanges(result.body);
                     failing_ = !ok && !result.tooLarge && (result.status == 0 || result.status == 503);
                     if (failing_) failWaiting();
                     if (ok) confirmedAt_ = std::max(confirmedAt_, sent);
--- a/src/state/key_watch.cpp
+++ b/src/state/key_watch.cpp
@@ -13,7 +13,7 @@
 
 void KeyWatch::tick(Time now) {
   now_ = now;
-  if (calling_ || now < retryAt_) return;
+  if (callInFlight_ || now < retryAt_) return;
   if (state_ == State::reading) read();
   if (state_ == State::following) watch();
 }
@@ -21,24 +21,24 @@
 void KeyWatch::retry() { retryAt_ = now_ + constants::kStateBackoff; }
 
 void KeyWatch::read() {
-  calling_ = true;
+  callInFlight_ = true;
   client_.get(now_, Urgency::rest, key_,
               [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                 if (!alive.lock()) return;
-                calling_ = false;
+                callInFlight_ = false;
                 onRead(result);
               });
 }
 
 void KeyWatch::onRead(const wire::CallResult& result) {
   if (result.status == 404) {
-    const auto ledger = wire::countField(result.body, "ledger");
-    if (!ledger) return retry();
-    ledger_ = *ledger;
-    tell(nullptr, 0);
-  } else if (const auto stamp = wire::countField(result.body, "stamp"); result.ok() && stamp) {
-    ledger_ = *stamp;
-    tell(wire::field(result.body, "value"), *stamp);
+    const auto revision = wire::countField(result.body, "ledger");
+    if (!revision) return retry();
+    revision_ = *revision;
+    notify(nullptr, 0);
+  } else if (const auto revision = wire::countField(result.body, "stamp"); result.ok() && revision) {
+    revision_ = *revision;
+    notify(wire::field(result.body, "value"), *revision);
   } else {
     return retry();
   }
@@ -47,11 +47,11 @@
 }
 
 void KeyWatch::watch() {
-  calling_ = true;
-  client_.changes(now_, Urgency::rest, key_, ledger_, constants::kWatchBlock,
+  callInFlight_ = true;
+  client_.changes(now_, Urgency::rest, key_, revision_, constants::kWatchBlock,
                   [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                     if (!alive.lock()) return;
-                    calling_ = false;
+                    callInFlight_ = false;
                     onChanges(result);
                   });
 }
@@ -59,24 +59,24 @@
 void KeyWatch::onChanges(const wire::CallResult& result) {
   // What has changed is no longer known there: the key is read anew.
   if (result.status == 410 || result.tooLarge) to(State::reading);
-  const Json* news = wire::field(result.body, "news");
-  const auto ledger = wire::countField(result.body, "ledger");
-  if (!result.ok() || news == nullptr || !news->is_array() || !ledger) return retry();
-  for (const Json& item : *news) {
-    const std::uint64_t stamp = wire::countField(item, "stamp").value_or(0);
-    if (stamp <= ledger_) continue;
-    if (wire::textField(item, "write") == key_) tell(wire::field(item, "value"), stamp);
-    if (wire::textField(item, "delete") == key_) tell(nullptr, stamp);
+  const Json* events = wire::field(result.body, "news");
+  const auto revision = wire::countField(result.body, "ledger");
+  if (!result.ok() || events == nullptr || !events->is_array() || !revision) return retry();
+  for (const Json& item : *events) {
+    const std::uint64_t revision = wire::countField(item, "stamp").value_or(0);
+    if (revision <= revision_) continue;
+    if (wire::textField(item, "write") == key_) notify(wire::field(item, "value"), revision);
+    if (wire::textField(item, "delete") == key_) notify(nullptr, revision);
   }
-  ledger_ = std::max(ledger_, *ledger);
+  revision_ = std::max(revision_, *revision);
   watch();
 }
 
-void KeyWatch::tell(const Json* value, std::uint64_t stamp) {
+void KeyWatch::notify(const Json* value, std::uint64_t revision) {
   // A value that has been told already, found again by a second reading.
-  if (value != nullptr && stamp == stamp_) return;
-  stamp_ = value == nullptr ? 0 : stamp;
-  changed_(value, stamp_);
+  if (value != nullptr && revision == toldRevision_) return;
+  toldRevision_ = value == nullptr ? 0 : revision;
+  changed_(value, toldRevision_);
 }
 
 }  // namespace reachhoist::state
--- a/src/state/key_watch.hpp
+++ b/src/state/key_watch.hpp
@@ -1,4 +1,5 @@
-// Follows one key: reads it once, then watches it. Without the state service the last value stays known.
+// Watches one key of the key-value store: reads it once, then follows its changes by revision. While the
+// store is unreachable the last value stays known and is retried after a back-off.
 #pragma once
 
 #include <functional>
@@ -9,17 +10,20 @@
 
 namespace reachhoist::state {
 
+// Watch of a single key. Tells each new value (or deletion) once, in revision order.
 class KeyWatch {
  public:
   // stopped: not begun. reading: the key is read as a whole. following: its changes are watched.
   enum class State { stopped, reading, following };
   // A null value: there is no such key.
-  using Changed = std::function<void(const Json* value, std::uint64_t stamp)>;
+  using Changed = std::function<void(const Json* value, std::uint64_t revision)>;
 
   KeyWatch(Client& client, std::string key, Changed changed);
   KeyWatch(const KeyWatch&) = delete;
 
+  // Reads the key and then follows it; call once, in state stopped.
   void start(Time now);
+  // Retries a failed read or watch after the back-off; call on each tick of the event loop.
   void tick(Time now);
 
  private:
@@ -29,15 +33,15 @@
   void watch();
   void onChanges(const wire::CallResult& result);
   void retry();
-  void tell(const Json* value, std::uint64_t stamp);
+  void notify(const Json* value, std::uint64_t revision);
 
   Client& client_;
   std::string key_;
   Changed changed_;
   State state_ = State::stopped;
-  std::uint64_t ledger_ = 0;  // everything up to here has been taken
-  std::uint64_t stamp_ = 0;   // of the value told last
-  bool calling_ = false;
+  std::uint64_t revision_ = 0;      // everything up to here has been taken
+  std::uint64_t toldRevision_ = 0;  // of the value told last
+  bool callInFlight_ = false;
   Time now_{};
   Time retryAt_{};
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/src/state/transaction.cpp
+++ b/src/state/transaction.cpp
@@ -7,19 +7,19 @@
   transaction_ = std::move(transaction);
   urgency_ = urgency;
   done_ = std::move(done);
-  unknown_ = false;
-  mark_ = markPrefix_ + std::to_string(++marks_);
-  markedKey_.clear();
+  maybeApplied_ = false;
+  mark_ = markPrefix_ + std::to_string(++markCount_);
+  readBackKey_.clear();
   for (Write& write : transaction_.writes) {
     if (!write.value) continue;
     (*write.value)["mark"] = mark_;
-    if (markedKey_.empty()) markedKey_ = write.key;
+    if (readBackKey_.empty()) readBackKey_ = write.key;
   }
   send(now);
 }
 
 void Committer::abandon() {
-  token_ = std::make_shared<int>(0);
+  alive_ = std::make_shared<int>(0);
   done_ = nullptr;
   to(State::idle);
 }
@@ -27,7 +27,7 @@
 void Committer::tick(Time now) {
   now_ = now;
   if (state_ != State::pausing || now < resumeAt_) return;
-  if (!failed_.empty()) {
+  if (!failedKeys_.empty()) {
     readBack();
   } else {
     send(now);
@@ -36,9 +36,9 @@
 
 void Committer::send(Time now) {
   to(State::sending);
-  failed_.clear();
-  client_.multi(now, urgency_, transaction_, [this, token = std::weak_ptr<int>(token_)](const auto& result) {
-    if (token.lock()) onAnswer(result);
+  failedKeys_.clear();
+  client_.multi(now, urgency_, transaction_, [this, alive = std::weak_ptr<int>(alive_)](const auto& result) {
+    if (alive.lock()) onAnswer(result);
   });
 }
 
@@ -62,22 +62,22 @@
   if (result.status == 409) {
     if (const Json* keys = wire::field(result.body, "failed"); keys != nullptr && keys->is_array()) {
       for (const Json& key : *keys)
-        if (key.is_string()) failed_.push_back(key.get<std::string>());
+        if (key.is_string()) failedKeys_.push_back(key.get<std::string>());
     }
-    if (failed_.empty()) failed_.emplace_back("?");
+    if (failedKeys_.empty()) failedKeys_.emplace_back("?");
     // A lost answer may have been a yes, and then its own changes are why the conditions fail now.
-    if (unknown_ && !markedKey_.empty()) return readBack();
-    return finish(Outcome{Verdict::refused, 0, failed_});
+    if (maybeApplied_ && !readBackKey_.empty()) return readBack();
+    return finish(Outcome{Verdict::refused, 0, failedKeys_});
   }
   if (result.status == 400 || result.status == 413) return finish(Outcome{Verdict::refused, 0, {"?"}});
-  if (result.unknown()) unknown_ = true;
+  if (result.unknown()) maybeApplied_ = true;
   pause(now_);
 }
 
 void Committer::readBack() {
   to(State::readingBack);
-  client_.get(now_, urgency_, markedKey_, [this, token = std::weak_ptr<int>(token_)](const auto& result) {
-    if (token.lock()) onReadBack(result);
+  client_.get(now_, urgency_, readBackKey_, [this, alive = std::weak_ptr<int>(alive_)](const auto& result) {
+    if (alive.lock()) onReadBack(result);
   });
 }
 
@@ -87,7 +87,7 @@
   if (value != nullptr && wire::textField(*value, "mark") == mark_)
     return finish(Outcome{Verdict::applied, wire::countField(result.body, "stamp").value_or(0), {}});
   // Conditions that failed once never hold again, so it can't be carried out late either.
-  finish(Outcome{Verdict::refused, 0, failed_});
+  finish(Outcome{Verdict::refused, 0, failedKeys_});
 }
 
 }  // namespace reachhoist::state
--- a/src/state/transaction.hpp
+++ b/src/state/transaction.hpp
@@ -1,4 +1,5 @@
-// Runs a transaction to a definite verdict: through outages, refusals of the budget and lost answers.
+// A serial writer to the key-value store: runs one compare-and-swap transaction at a time to a definite
+// verdict, through outages, rate-limit refusals and lost answers.
 #pragma once
 
 #include <functional>
@@ -8,27 +9,36 @@
 
 namespace reachhoist::state {
 
+// Whether a transaction's writes took effect (applied) or its preconditions failed (refused).
 enum class Verdict { applied, refused };
 
+// The definite result of a transaction.
 struct Outcome {
   Verdict verdict = Verdict::refused;
-  std::uint64_t stamp = 0;          // of every key written, when applied
-  std::vector<std::string> failed;  // conditions that did not hold, when refused
+  std::uint64_t stamp = 0;          // mod revision of every key written, when applied
+  std::vector<std::string> failed;  // keys whose preconditions did not hold, when refused ("?" if unknown)
 };
 
-// One transaction at a time. Every value written must be a map: it gets a mark by which it is told, after an
-// answer was lost, whether this very transaction was carried out.
+// Serial writer with one transaction in flight. Every value written must be a JSON object: it gets a mark by
+// which, after an answer was lost, a read-back tells whether this very transaction was applied.
 class Committer {
  public:
+  // idle: nothing in flight. sending: the transaction is sent. pausing: backing off before a retry.
+  // readingBack: reading a written key to learn whether a try whose answer was lost was applied.
   enum class State { idle, sending, pausing, readingBack };
+  // Called once with the definite outcome, unless the transaction is abandoned first.
   using Done = std::function<void(const Outcome&)>;
 
+  // markPrefix: unique to this writer (and its incarnation), so that marks never repeat.
   Committer(Client& client, std::string markPrefix) : client_(client), markPrefix_(std::move(markPrefix)) {}
 
+  // Whether a transaction is in flight; commit() may be called only when not busy.
   bool busy() const { return state_ != State::idle; }
+  // Starts the transaction; retries it on outages and rate limits until its verdict is known.
   void commit(Time now, Urgency urgency, Transaction transaction, Done done);
   // Forgets the transaction under way; its outcome will not be told.
   void abandon();
+  // Drives retries after a back-off; call on each tick of the event loop.
   void tick(Time now);
 
  private:
@@ -42,19 +52,19 @@
 
   Client& client_;
   std::string markPrefix_;
-  std::uint64_t marks_ = 0;
+  std::uint64_t markCount_ = 0;
   State state_ = State::idle;
   Transaction transaction_;
   Urgency urgency_ = Urgency::rest;
   Done done_;
   std::string mark_;
-  std::string markedKey_;
-  bool unknown_ = false;  // an earlier try may have been carried out
-  std::vector<std::string> failed_;
+  std::string readBackKey_;
+  bool maybeApplied_ = false;  // an earlier try may have been carried out
+  std::vector<std::string> failedKeys_;
   Time now_{};
   Time resumeAt_{};
-  // Answers to an abandoned transaction find that its token is gone.
-  std::shared_ptr<int> token_ = std::make_shared<int>(0);
+  // Answers to an abandoned transaction find this pointer gone and are dropped.
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
 }  // namespace reachhoist::state
