--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -18,16 +18,16 @@
 }  // namespace
 
 bool FrameListener::listen(const Address& address, std::string& error) {
-  Fd fd = listenOn(address, error);
-  if (!fd) return false;
-  listener_ = std::make_unique<Socket>(reactor_, std::move(fd));
+  auto listener = listenSocket(reactor_, address, error);
+  if (!listener) return false;
+  listener_ = std::move(listener);
   spawn(acceptLoop());
   return true;
 }
 
 Task<void> FrameListener::acceptLoop() {
   for (;;) {
-    Fd fd(::accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    Fd fd = acceptConnection(*listener_);
     if (!fd) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) {
         co_await listener_->readable(Time::max());
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -20,16 +20,16 @@
     : reactor_(reactor), maxConnections_(maxConnections), handler_(std::move(handler)) {}
 
 bool HttpServer::listen(const Address& address, std::string& error) {
-  Fd fd = listenOn(address, error);
-  if (!fd) return false;
-  listener_ = std::make_unique<Socket>(reactor_, std::move(fd));
+  auto listener = listenSocket(reactor_, address, error);
+  if (!listener) return false;
+  listener_ = std::move(listener);
   spawn(acceptLoop());
   return true;
 }
 
 Task<void> HttpServer::acceptLoop() {
   for (;;) {
-    Fd fd(::accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    Fd fd = acceptConnection(*listener_);
     if (!fd) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) {
         co_await listener_->readable(Time::max());
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -217,6 +217,16 @@
   return fd;
 }
 
+std::unique_ptr<Socket> listenSocket(Reactor& reactor, const Address& address, std::string& error) {
+  Fd fd = listenOn(address, error);
+  if (!fd) return nullptr;
+  return std::make_unique<Socket>(reactor, std::move(fd));
+}
+
+Fd acceptConnection(const Socket& listener) {
+  return Fd(::accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+}
+
 Task<std::unique_ptr<Socket>> connectTo(Reactor& reactor, Address address, Time deadline) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) co_return nullptr;
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -120,6 +120,11 @@
 };
 
 Fd listenOn(const Address& address, std::string& error);
+// A listening socket on the address, registered with the reactor; null with error set on failure.
+std::unique_ptr<Socket> listenSocket(Reactor& reactor, const Address& address, std::string& error);
+// Accepts one pending connection as a non-blocking, close-on-exec descriptor; an empty Fd with errno set
+// when there is none (EAGAIN) or accept failed.
+Fd acceptConnection(const Socket& listener);
 // Connected socket, or null: refused, failed or too late. None of the request was sent in these cases.
 Task<std::unique_ptr<Socket>> connectTo(Reactor& reactor, Address address, Time deadline);
 
