--- a/src/net/framed.hpp
+++ b/src/net/framed.hpp
@@ -11,10 +11,14 @@
 
 namespace reachhoist::net {
 
+// Accepts connections from siblings and hands each length-prefixed frame to the handler. A connection that
+// sends a frame above the size limit, or nothing for a while, is closed.
 class FrameListener {
  public:
+  // Called with the payload of each frame received, without its length prefix.
   using Handler = std::function<void(std::string frame)>;
   FrameListener(Reactor& reactor, Handler handler) : reactor_(reactor), handler_(std::move(handler)) {}
+  // Listens on the address; false with error set if the socket can't be opened. Call once.
   bool listen(const Address& address, std::string& error);
 
  private:
@@ -27,6 +31,7 @@
   std::size_t open_ = 0;
 };
 
+// Sends length-prefixed frames to one sibling over a connection it dials, and dials again when it breaks.
 class FrameSender {
  public:
   FrameSender(Reactor& reactor, Address address);
