--- a/src/jobs/failures.cpp
+++ b/src/jobs/failures.cpp
@@ -6,15 +6,15 @@
 
 namespace reachhoist::jobs {
 
-void Failures::note(const std::string& host, Duration ran) {
+void FailureAttribution::note(const std::string& host, Duration ran) {
   // A job that fails everywhere must not remember every machine of a large fleet.
   if (hosts_.size() < constants::kFailureHostsMost) hosts_.insert(host);
   longestRun_ = std::max(longestRun_, ran);
 }
 
-bool Failures::widespread() const { return hosts_.size() >= constants::kWrongJobMachines; }
+bool FailureAttribution::widespread() const { return hosts_.size() >= constants::kWrongJobMachines; }
 
-void Failures::blameJob(Time now) {
+void FailureAttribution::attributeToJob(Time now) {
   // The tasks that were started together fail together: they are one trial.
   if (now < heldUntil_) return;
   const auto pause = constants::kJobErrorBackoff * (1 << std::min(trials_, constants::kJobErrorDoublings));
@@ -22,6 +22,6 @@
   ++trials_;
 }
 
-void Failures::absolve() { *this = Failures{}; }
+void FailureAttribution::reset() { *this = FailureAttribution{}; }
 
 }  // namespace reachhoist::jobs
--- a/src/jobs/failures.hpp
+++ b/src/jobs/failures.hpp
@@ -1,4 +1,5 @@
-// What the failed tasks of a job show: whether the machines are to blame or the job itself.
+// Failure attribution for the tasks of one job: whether failed task attempts point at the machines they ran
+// on or at the job itself, and the retry backoff of a job that is held to be at fault.
 #pragma once
 
 #include <set>
@@ -8,19 +9,20 @@
 
 namespace reachhoist::jobs {
 
-class Failures {
+// The failures of one job's task attempts since the last success. Not thread-safe; owned by the job.
+class FailureAttribution {
  public:
   using Time = wire::Time;
   using Duration = wire::Duration;
 
-  // A task failed on the machine after it had run for so long.
+  // Records that a task attempt failed on the host after it had run for `ran`.
   void note(const std::string& host, Duration ran);
   // Failed on so many machines that, unless it does well somewhere, the job is at fault.
   bool widespread() const;
-  // The job is held to be at fault: its next trial has to wait, longer after each one.
-  void blameJob(Time now);
-  // Some task did well where others failed.
-  void absolve();
+  // Attributes the failures to the job: its next retry waits, with exponential backoff up to a limit.
+  void attributeToJob(Time now);
+  // Forgets all failures: some task succeeded where others failed.
+  void reset();
 
   bool jobAtFault() const { return trials_ > 0; }
   bool failedOn(const std::string& host) const { return hosts_.contains(host); }
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -27,21 +27,21 @@
   return "accepted";
 }
 
-std::string_view name(GangPhase phase) {
+std::string_view name(GangState phase) {
   switch (phase) {
-    case GangPhase::waiting:
+    case GangState::waiting:
       return "waiting";
-    case GangPhase::reserving:
+    case GangState::reserving:
       return "reserving";
-    case GangPhase::gathering:
+    case GangState::gathering:
       return "gathering";
-    case GangPhase::running:
+    case GangState::running:
       return "running";
-    case GangPhase::stopping:
+    case GangState::stopping:
       return "stopping";
-    case GangPhase::clearing:
+    case GangState::clearing:
       return "clearing";
-    case GangPhase::done:
+    case GangState::done:
       return "done";
   }
   return "waiting";
@@ -89,7 +89,7 @@
   placed = running = completed = firstWaiting = 0;
   doneStamps.clear();
   dirtyChunks.clear();
-  failures.absolve();
+  failures.reset();
   heldUntil = Time{};
   gang = Gang{};
   waitingSince = lastPlaced = now;
@@ -103,7 +103,7 @@
   waiting = placed = running = completed = firstWaiting = 0;
   doneStamps.clear();
   dirtyChunks.clear();
-  failures.absolve();
+  failures.reset();
 }
 
 std::string Job::doneChunk(std::uint32_t chunk) const {
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -1,4 +1,4 @@
-// The jobs as the state service has them, and for the leader what became of each task.
+// Jobs as stored in the key-value store, and, for the leader, the state of each task of the jobs it owns.
 #pragma once
 
 #include <map>
@@ -19,16 +19,16 @@
 enum class JobPhase { accepted, done, cancelled };
 std::string_view name(JobPhase phase);
 
-// A gang, as the leader sees it. waiting: for room, with nothing of an earlier attempt left. reserving: its
-// places are being written, in one transaction or several; nothing is started before the last. gathering:
-// started, its tasks fetch their images and wait for each other. running: all do. stopping: all have been
-// told to stop, saving if they can. clearing: the attempt has failed, and what is left of it is stopped.
-// done: one task was reported done, so all are.
-enum class GangPhase : std::uint8_t { waiting, reserving, gathering, running, stopping, clearing, done };
-std::string_view name(GangPhase phase);
+// The state of a gang (gang scheduling), as the leader sees it. waiting: for free capacity, with nothing of
+// an earlier attempt left. reserving: its places are being written, in one transaction or several; nothing is
+// started before the last. gathering: started, its tasks fetch their images and wait for each other. running:
+// all do. stopping: all have been told to stop, saving if they can. clearing: the attempt has failed, and
+// what is left of it is stopped. done: one task was reported done, so all are.
+enum class GangState : std::uint8_t { waiting, reserving, gathering, running, stopping, clearing, done };
+std::string_view name(GangState phase);
 
 struct Gang {
-  GangPhase phase = GangPhase::waiting;
+  GangState phase = GangState::waiting;
   std::uint64_t number = 0;  // of the attempt, the same for all its tasks
   int failures = 0;          // in a row
   int shortRentals = 0;      // rentals in a row that did not get all the machines it needs
@@ -37,8 +37,8 @@
   // The cloud gave fewer machines than were asked for.
   void rentalFellShort(Time now);
 
-  // The one function that changes a gang's phase.
-  void to(GangPhase next) { phase = next; }
+  // The one function that changes a gang's state.
+  void to(GangState next) { phase = next; }
 };
 
 enum class TaskPhase : std::uint8_t { waiting, placed, completed };
@@ -62,7 +62,7 @@
   std::uint32_t firstWaiting = 0;                     // no task below this one is waiting
   std::map<std::uint32_t, std::uint64_t> doneStamps;  // chunk -> stamp of its key
   std::set<std::uint32_t> dirtyChunks;                // completions not durable yet
-  Failures failures;
+  FailureAttribution failures;
   Time heldUntil{};  // a gang whose attempt failed is not tried again before
   Time waitingSince{};
   Time lastPlaced{};  // or begun to be owned
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -68,14 +68,14 @@
   MachinePhase phase = MachinePhase::booting;
   std::uint64_t session = 0;
   std::uint64_t sequence = 0;
-  std::uint64_t workerToken = 0;  // highest the worker is known to have seen
-  std::uint64_t fence = 0;
-  bool recordBusy = false;     // a transaction that concerns it is under way
-  bool direct = false;         // a direct command is under way
-  bool probing = false;        // asked for its state because its reports are overdue
-  bool unreachable = false;    // and gave no answer; unset by its next report
-  bool probedUnheard = false;  // asked for its state because it had not reported under this term
-  bool ordersDue = false;      // orders have come up that no report is likely to carry soon
+  std::uint64_t workerToken = 0;      // highest the worker is known to have seen
+  std::uint64_t fencingSequence = 0;  // counts fencing tokens under this term
+  bool recordBusy = false;            // a transaction that concerns it is under way
+  bool direct = false;                // a direct command is under way
+  bool probing = false;               // asked for its state because its reports are overdue
+  bool unreachable = false;           // and gave no answer; unset by its next report
+  bool probedUnheard = false;         // asked for its state because it had not reported under this term
+  bool ordersDue = false;             // orders have come up that no report is likely to carry soon
   // It has been seen with the newest token: our answers or commands reach it.
   bool echoed = false;
   Time unechoedSince{};  // first answer with a token that it has not been seen with
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -123,7 +123,7 @@
 
   // --- leader_gangs.cpp: attempts of gangs begin and end whole
   void forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit);
-  void toGang(jobs::Job& job, jobs::GangPhase next, const char* why);
+  void toGang(jobs::Job& job, jobs::GangState next, const char* why);
   void adoptGangs();
   bool gangMayStart(const Attempt& attempt);
   void gangWritten(jobs::Job& job);
--- a/src/service/leader_gangs.cpp
+++ b/src/service/leader_gangs.cpp
@@ -6,7 +6,7 @@
 
 namespace reachhoist::service {
 
-using jobs::GangPhase;
+using jobs::GangState;
 
 void Leader::forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit) {
   for (auto& [host, machine] : machines_.all())
@@ -14,7 +14,7 @@
       if (attempt.task.job.text == ref) visit(machine, attempt);
 }
 
-void Leader::toGang(jobs::Job& job, GangPhase next, const char* why) {
+void Leader::toGang(jobs::Job& job, GangState next, const char* why) {
   if (job.gang.phase == next) return;
   context_.event(Level::info, "gang",
                  {{"job", job.spec.ref.text},
@@ -39,7 +39,7 @@
   for (auto& [ref, found] : tasks) {
     jobs::Job& job = *jobs_.find(ref);
     const bool whole = found.size() == job.spec.taskCount;
-    toGang(job, whole ? GangPhase::gathering : GangPhase::clearing, "adopted");
+    toGang(job, whole ? GangState::gathering : GangState::clearing, "adopted");
     forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
       if (!whole || attempt.number != job.gang.number) commands_.stop(machine, attempt, 0);
     });
@@ -49,7 +49,7 @@
 bool Leader::gangMayStart(const Attempt& attempt) {
   const jobs::Job* job = jobs_.find(attempt.task.job.text);
   return job != nullptr && job->open() && job->gang.number == attempt.number &&
-         job->gang.phase == GangPhase::gathering;
+         job->gang.phase == GangState::gathering;
 }
 
 // Places that found no page in the round of their decision.
@@ -83,18 +83,18 @@
 }
 
 void Leader::gangWritten(jobs::Job& job) {
-  if (job.gang.phase != GangPhase::reserving) return;
+  if (job.gang.phase != GangState::reserving) return;
   std::uint32_t recorded = 0;
   forEachAttempt(job.spec.ref.text, [&](Machine&, Attempt& attempt) {
     if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::recorded) ++recorded;
   });
   if (recorded < job.spec.taskCount) return;
-  toGang(job, GangPhase::gathering, "all places are durable");
+  toGang(job, GangState::gathering, "all places are durable");
   forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt&) { commands_.markDue(machine); });
 }
 
 void Leader::gangRuns(jobs::Job& job) {
-  if (job.gang.phase != GangPhase::gathering || job.running < job.spec.taskCount) return;
+  if (job.gang.phase != GangState::gathering || job.running < job.spec.taskCount) return;
   // Tasks that linger of an earlier attempt, or save already, are no evidence that this one runs.
   std::uint32_t run = 0;
   forEachAttempt(job.spec.ref.text, [&](Machine&, const Attempt& attempt) {
@@ -102,15 +102,15 @@
   });
   if (run < job.spec.taskCount) return;
   job.gang.failures = 0;
-  toGang(job, GangPhase::running, "all tasks run");
+  toGang(job, GangState::running, "all tasks run");
 }
 
 // A task of the present attempt has ended without being done, or is gone: the rest can't go on.
 void Leader::gangLost(jobs::Job& job, const Attempt& attempt, const char* why) {
   if (!job.isGang() || !job.open() || attempt.number != job.gang.number) return;
-  const GangPhase phase = job.gang.phase;
-  if (phase != GangPhase::reserving && phase != GangPhase::gathering && phase != GangPhase::running) return;
-  toGang(job, GangPhase::clearing, why);
+  const GangState phase = job.gang.phase;
+  if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
+  toGang(job, GangState::clearing, why);
   ++job.gang.failures;
   const auto pause = constants::kGangRetry * (1 << std::min(job.gang.failures - 1, 6));
   job.heldUntil = std::max(
@@ -124,11 +124,11 @@
 void Leader::stopGang(const std::string& ref, double leftS, const char* why) {
   jobs::Job* job = jobs_.find(ref);
   if (job == nullptr || !job->open() || !job->isGang()) return;
-  const GangPhase phase = job->gang.phase;
-  if (phase != GangPhase::reserving && phase != GangPhase::gathering && phase != GangPhase::running) return;
+  const GangState phase = job->gang.phase;
+  if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
   const double graceS = job->spec.checkpointS + 1;
-  const bool saves = phase == GangPhase::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
-  toGang(*job, GangPhase::stopping, why);
+  const bool saves = phase == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
+  toGang(*job, GangState::stopping, why);
   forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
     if (attempt.holdsRoom()) commands_.stop(machine, attempt, saves ? graceS : 0);
   });
@@ -137,7 +137,7 @@
 // They complete together: one task done means all are, and nothing is run again for the sake of tasks whose
 // machines have vanished meanwhile.
 void Leader::completeGang(jobs::Job& job) {
-  toGang(job, GangPhase::done, "a task is done");
+  toGang(job, GangState::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
     job.to(index, jobs::TaskPhase::completed, context_.now);
   records_.finished(job.spec.ref.text);
--- a/src/service/leader_heartbeats.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -57,7 +57,7 @@
   machine->lastHeard = context_.now;
   machine->lastAnswered = std::max(machine->lastAnswered, context_.now);
   const auto orders = commands_.ordersFor(*machine, source, report.sequence);
-  return ReportAnswer{200, wire::encodeOrders(commands_.tokenOf(*machine), orders)};
+  return ReportAnswer{200, wire::encodeOrders(commands_.fencingTokenOf(*machine), orders)};
 }
 
 void Leader::takeEvidence(Machine& machine, const wire::Report& report, Source source) {
@@ -221,7 +221,7 @@
     // A start in an answer is executed at once or never: a later report without it proves that the answer
     // did not arrive. Until the worker is seen with a higher token it gets no more work.
     const bool notTaken = attempt.answeredAt != 0 && report.sequence > attempt.answeredAt;
-    if (notTaken && !seen) commands_.raiseFence(machine);
+    if (notTaken && !seen) commands_.advanceFencingToken(machine);
     if (seen || attempt.inherited || attempt.stopWanted || notTaken)
       release(machine, attempt, seen ? "reaped" : notTaken ? "not taken" : "absent");
   }
@@ -258,7 +258,7 @@
   if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
   if (job.isGang()) return completeGang(job);
   job.to(task.index, jobs::TaskPhase::completed, context_.now);
-  if (job.failures.jobAtFault()) job.failures.absolve();
+  if (job.failures.jobAtFault()) job.failures.reset();
   records_.completed(task);
   planDue_ = true;
 }
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -98,7 +98,7 @@
     attempt.paged = pages_.place(*assignment.machine, attempt, pages, constants::kPagesPerRound);
     jobs::Gang& gang = assignment.job->gang;
     attempt.gang = assignment.job->isGang();
-    const bool begun = attempt.gang && gang.phase == jobs::GangPhase::reserving;
+    const bool begun = attempt.gang && gang.phase == jobs::GangState::reserving;
     if (!attempt.paged && !begun) {
       planDue_ = true;  // the rest goes with the next round
       break;
@@ -110,7 +110,7 @@
     if (attempt.gang && !begun) {
       gang.number = attempt.number;
       gang.shortRentals = 0;
-      toGang(*assignment.job, jobs::GangPhase::reserving, "room for all");
+      toGang(*assignment.job, jobs::GangState::reserving, "room for all");
     }
     attempt.each = spec.each;
     attempt.team = spec.team;
--- a/src/service/leader_task_failures.cpp
+++ b/src/service/leader_task_failures.cpp
@@ -18,7 +18,7 @@
       context_.event(Level::info, "job_at_fault", {{"job", ref}});
       clearBlame(ref);
     }
-    return job->failures.blameJob(context_.now);
+    return job->failures.attributeToJob(context_.now);
   }
   ++machine.errorsInRow;
   machine.errorJobs.insert(ref);
@@ -43,7 +43,7 @@
       ++at;
     } else {
       if (!over) {
-        job->failures.absolve();
+        job->failures.reset();
         planDue_ = true;
       }
       at = faultyJobs_.erase(at);
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -27,16 +27,16 @@
   due_.insert(machine.host.text);
 }
 
-void WorkerCommands::raiseFence(Machine& machine) {
+void WorkerCommands::advanceFencingToken(Machine& machine) {
   // Once is enough until the worker has been seen with it.
-  if (machine.workerToken < tokenOf(machine)) return;
-  ++machine.fence;
+  if (machine.workerToken < fencingTokenOf(machine)) return;
+  ++machine.fencingSequence;
   machine.echoed = false;
   machine.unechoedSince = context_.now;
 }
 
 void WorkerCommands::noteEcho(Machine& machine) {
-  if (machine.echoed || machine.workerToken < tokenOf(machine)) {
+  if (machine.echoed || machine.workerToken < fencingTokenOf(machine)) {
     if (!machine.echoed && machine.unechoedSince == Time{}) machine.unechoedSince = context_.now;
     return;
   }
@@ -121,7 +121,7 @@
   call.endpoint = machine.endpoint;
   call.method = "POST";
   call.path = "/commands";
-  const std::uint64_t token = tokenOf(machine);
+  const std::uint64_t token = fencingTokenOf(machine);
   call.body = wire::encodeOrders(token, orders);
   call.body["shift"] = machine.session;
   call.timeout = constants::kWorkerTimeout;
@@ -149,9 +149,9 @@
     if (!answered && result.sent && machine->session == session) attempt->openToken = token;
   }
   if (!answered) {
-    if (result.sent && token == tokenOf(*machine)) {
+    if (result.sent && token == fencingTokenOf(*machine)) {
       // Makes the command void once the worker has seen the higher token.
-      ++machine->fence;
+      ++machine->fencingSequence;
       machine->echoed = false;
       machine->unechoedSince = context_.now;
     }
--- a/src/service/worker_commands.hpp
+++ b/src/service/worker_commands.hpp
@@ -36,13 +36,15 @@
   WorkerCommands(Context& context, machines::MachineTable& machines, std::uint64_t term, Hooks hooks);
   WorkerCommands(const WorkerCommands&) = delete;
 
-  std::uint64_t tokenOf(const Machine& machine) const { return cluster::token(term_, machine.fence); }
+  std::uint64_t fencingTokenOf(const Machine& machine) const {
+    return cluster::token(term_, machine.fencingSequence);
+  }
   // The task is told to stop; a second time only with less grace.
   void stop(Machine& machine, Attempt& attempt, double graceS);
   // A direct command should carry what is due on the machine.
   void markDue(Machine& machine);
   // Makes commands under the machine's present token void.
-  void raiseFence(Machine& machine);
+  void advanceFencingToken(Machine& machine);
   // Notes whether the machine has been seen with its newest token.
   void noteEcho(Machine& machine);
   // Everything that is due on the machine, noted as sent that way.
