--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -16,9 +16,9 @@
 #include "placement/planner.hpp"
 #include "service/completion_records.hpp"
 #include "service/context.hpp"
+#include "service/partition_detector.hpp"
 #include "service/shares.hpp"
 #include "service/worker_commands.hpp"
-#include "service/zone_cuts.hpp"
 #include "state/feed.hpp"
 #include "state/transaction.hpp"
 
@@ -191,7 +191,7 @@
   Time replanAt_{};
   Time nextSilenceCheck_{};
   Time nextBootCheck_{};
-  ZoneCuts cuts_;
+  PartitionDetector cuts_;
   std::vector<placement::Unmet> unmet_;
   SharesInRounds shares_;
   std::set<std::string> reserving_;  // gangs of which some places are not in a transaction yet
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -161,7 +161,7 @@
 }
 
 std::vector<placement::Unmet> Leader::endangered() {
-  if (cuts_.selfCut()) return {};
+  if (cuts_.selfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasks;
   for (const auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::up || !machine.unreachable || !cuts_.contains(machine.zone)) continue;
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -16,7 +16,7 @@
 // margins.
 // What has not been heard since the leader changed may have been cut off from the earlier one for long.
 void Leader::moveServices() {
-  if (cuts_.zones().empty() || cuts_.selfCut()) return;
+  if (cuts_.zones().empty() || cuts_.selfPartitioned()) return;
   double room = 0;
   for (const auto& [host, machine] : machines_.all()) {
     const bool reached = machine.phase == MachinePhase::up && machine.echoed && !machine.unreachable &&
@@ -51,7 +51,7 @@
   const char* why = nullptr;
   const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kHeartbeatFresh;
   const bool siblingConfirmed = context_.now - context_.siblingConfirmedAt <= constants::kHeartbeatFresh;
-  if (cuts_.selfCutFor(context_.now) > constants::kSelfCutPatience) {
+  if (cuts_.selfPartitionedFor(context_.now) > constants::kSelfCutPatience) {
     why = "hears no workers";
   } else if (siblingConfirmed && cuts_.unreachedFor(context_.now) > constants::kSelfCutPatience) {
     why = "hears workers through siblings only";
--- a/src/service/zone_cuts.cpp
+++ b/src/service/partition_detector.cpp
@@ -1,4 +1,5 @@
-#include "service/zone_cuts.hpp"
+// Network partition detection over the machine table; see partition_detector.hpp.
+#include "service/partition_detector.hpp"
 
 namespace reachhoist::service {
 
@@ -10,14 +11,14 @@
 bool nearlyAll(int part, int whole) { return part * 4 > whole * 3; }
 }  // namespace
 
-void ZoneCuts::Count::add(const Count& other) {
+void PartitionDetector::Count::add(const Count& other) {
   up += other.up;
   quiet += other.quiet;
   indirect += other.indirect;
   heard += other.heard;
 }
 
-ZoneCuts::Count ZoneCuts::countOf(const Machine& machine, Time now) const {
+PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
   const auto overdue = wire::seconds(settings_.reportS * constants::kQuietReports + 0.5);
   Count out;
   out.up = 1;
@@ -27,7 +28,7 @@
   return out;
 }
 
-void ZoneCuts::keep(Time& begin, bool holds, Time now) {
+void PartitionDetector::keep(Time& begin, bool holds, Time now) {
   if (!holds) {
     begin = Time{};
   } else if (begin == Time{}) {
@@ -35,15 +36,15 @@
   }
 }
 
-void ZoneCuts::reset() {
+void PartitionDetector::reset() {
   zones_.clear();
   doubtful_.clear();
   until_.clear();
-  selfCut_ = mostlyIndirect_ = false;
-  selfCutSince_ = unreachedSince_ = unheardSince_ = Time{};
+  selfPartitioned_ = mostlyIndirect_ = false;
+  selfPartitionedSince_ = unreachedSince_ = unheardSince_ = Time{};
 }
 
-void ZoneCuts::observe(const machines::MachineTable& machines, Time now) {
+void PartitionDetector::observe(const machines::MachineTable& machines, Time now) {
   std::map<std::string, Count> zones;
   Count all;
   for (const auto& [host, machine] : machines.all()) {
@@ -63,12 +64,12 @@
   std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; });
   zones_.clear();
   for (const auto& [zone, until] : until_) zones_.insert(zone);
-  selfCut_ = nearlyAll(all.quiet, all.up);
+  selfPartitioned_ = nearlyAll(all.quiet, all.up);
   // Machines that were never heard under this term may as well be dead, and then the next leader would do no
   // better.
   const bool enough = all.up >= constants::kSelfCutLeast;
   const bool mostHeard = all.heard * 2 > all.up;
-  keep(selfCutSince_, selfCut_ && enough && mostHeard, now);
+  keep(selfPartitionedSince_, selfPartitioned_ && enough && mostHeard, now);
   mostlyIndirect_ = nearlyAll(all.indirect, all.up) && all.quiet < all.indirect && enough && mostHeard;
   keep(unreachedSince_, mostlyIndirect_ && all.indirect == all.up, now);
   keep(unheardSince_, enough && all.heard * 10 < all.up, now);
--- a/src/service/zone_cuts.hpp
+++ b/src/service/partition_detector.hpp
@@ -1,5 +1,6 @@
-// Which zones seem cut off from this controller, and whether it is cut off itself, judged by the machines
-// that have fallen silent or are heard by way of siblings only.
+// Network partition detection: which zones seem partitioned from this controller, and whether the controller
+// itself is partitioned from the fleet, inferred from machines whose heartbeats have stopped or arrive only
+// by way of sibling controllers.
 #pragma once
 
 #include <map>
@@ -10,26 +11,27 @@
 
 namespace reachhoist::service {
 
-class ZoneCuts {
+// Detects network partitions of zones and of this controller from the machine table. Not thread-safe.
+class PartitionDetector {
  public:
   using Time = wire::Time;
 
-  explicit ZoneCuts(const config::Settings& settings) : settings_(settings) {}
+  explicit PartitionDetector(const config::Settings& settings) : settings_(settings) {}
 
   // Looks at all machines anew.
   void observe(const machines::MachineTable& machines, Time now);
   // Forgets what was concluded so far: this process was not listening.
   void reset();
 
-  // Zones of which most machines are quiet.
+  // Zones that are taken to be partitioned: most of their machines are quiet.
   const std::set<std::string>& zones() const { return zones_; }
   bool contains(const std::string& zone) const { return zones_.contains(zone); }
   // Most machines of the zone are quiet or heard through siblings: the others may be on their way there too.
   bool doubtful(const std::string& zone) const { return contains(zone) || doubtful_.contains(zone); }
-  // Nearly all machines are quiet, wherever they are: it is this controller that is cut off.
-  bool selfCut() const { return selfCut_; }
+  // Nearly all machines are quiet, wherever they are: it is this controller that is partitioned.
+  bool selfPartitioned() const { return selfPartitioned_; }
   // For how long that has been so, of machines that had been heard from; zero if it is not.
-  wire::Duration selfCutFor(Time now) const { return since(selfCutSince_, now); }
+  wire::Duration selfPartitionedFor(Time now) const { return since(selfPartitionedSince_, now); }
   // Nearly all machines are quiet or heard through siblings.
   bool mostlyIndirect() const { return mostlyIndirect_; }
   // For how long no machine has been heard or reached directly, while siblings hear some.
@@ -56,9 +58,9 @@
   std::set<std::string> zones_;
   std::set<std::string> doubtful_;
   std::map<std::string, Time> until_;
-  bool selfCut_ = false;
+  bool selfPartitioned_ = false;
   bool mostlyIndirect_ = false;
-  Time selfCutSince_{};
+  Time selfPartitionedSince_{};
   Time unreachedSince_{};
   Time unheardSince_{};
 };
--- /dev/null
+++ b/tests/unit/partition_detector_test.cpp
@@ -0,0 +1,94 @@
+#include "service/partition_detector.hpp"
+
+#include <gtest/gtest.h>
+
+namespace {
+
+using namespace reachhoist;
+using machines::MachinePhase;
+using service::PartitionDetector;
+
+class PartitionDetectorTest : public testing::Test {
+ protected:
+  PartitionDetectorTest() { settings.reportS = 2; }
+
+  void add(const std::string& zone, int count, double silentS, std::uint64_t sequence = 5) {
+    for (int i = 0; i < count; ++i) {
+      machines::Machine& machine = table.add("vm-" + std::to_string(table.all().size()));
+      machine.zone = zone;
+      machine.phase = MachinePhase::up;
+      machine.sequence = sequence;
+      machine.lastHeard = machine.lastDirect = now - wire::seconds(silentS);
+    }
+  }
+
+  wire::Time now = wire::Time{} + std::chrono::hours(1);
+  config::Settings settings;
+  machines::MachineTable table;
+  PartitionDetector detector{settings};
+};
+
+TEST_F(PartitionDetectorTest, MoreThanHalfOfAZoneQuietIsAPartitionAndIsBelievedForAWhile) {
+  add("a", 4, 10);
+  add("a", 2, 1);
+  add("b", 8, 1);
+  detector.observe(table, now);
+  EXPECT_EQ(detector.zones(), (std::set<std::string>{"a"}));
+  EXPECT_FALSE(detector.selfPartitioned());
+  for (auto& [host, machine] : table.all()) machine.lastHeard = now + wire::seconds(1);
+  detector.observe(table, now + wire::seconds(1));
+  EXPECT_TRUE(detector.contains("a"));  // relay brings its machines back one by one
+  detector.observe(table, now + wire::seconds(4.1));
+  EXPECT_FALSE(detector.contains("a"));
+}
+
+TEST_F(PartitionDetectorTest, HalfOfAZoneOrOneMachineHaveFailed) {
+  add("a", 3, 10);
+  add("a", 3, 1);
+  add("b", 1, 10);
+  detector.observe(table, now);
+  EXPECT_TRUE(detector.zones().empty());
+}
+
+TEST_F(PartitionDetectorTest, NearlyAllQuietIsThisControllersOwnPartitionIfItHadHeardThem) {
+  add("a", 7, 10);
+  add("b", 2, 10);
+  add("b", 1, 1);
+  detector.observe(table, now);
+  EXPECT_TRUE(detector.selfPartitioned());
+  EXPECT_EQ(detector.selfPartitionedFor(now + wire::seconds(3)), wire::seconds(3));
+  for (auto& [host, machine] : table.all()) machine.sequence = 0;  // never heard under this term
+  detector.observe(table, now + wire::seconds(1));
+  EXPECT_TRUE(detector.selfPartitioned());
+  EXPECT_EQ(detector.selfPartitionedFor(now + wire::seconds(3)), wire::Duration{0});
+}
+
+TEST_F(PartitionDetectorTest, HeardThroughSiblingsOnlyIsNoSilenceButTheOthersAreInDoubt) {
+  add("a", 9, 1);
+  add("a", 1, 10);
+  for (auto& [host, machine] : table.all()) machine.lastDirect = now - wire::seconds(10);
+  detector.observe(table, now);
+  EXPECT_FALSE(detector.selfPartitioned());
+  EXPECT_FALSE(detector.contains("a"));
+  EXPECT_TRUE(detector.doubtful("a"));
+  EXPECT_TRUE(detector.mostlyIndirect());
+  EXPECT_EQ(detector.unreachedFor(now + wire::seconds(3)), wire::seconds(3));
+  // One that can be reached directly shows that this controller is not cut off.
+  table.all().begin()->second.lastDirect = now;
+  detector.observe(table, now);
+  EXPECT_EQ(detector.unreachedFor(now + wire::seconds(3)), wire::Duration{0});
+}
+
+TEST_F(PartitionDetectorTest, HardlyAnyEverHeardAndWhatWasConcludedIsForgottenAfterStandingStill) {
+  add("a", 20, 1, 0);
+  add("a", 1, 1);
+  detector.observe(table, now);
+  EXPECT_EQ(detector.unheardFor(now + wire::seconds(5)), wire::seconds(5));
+  detector.reset();
+  EXPECT_EQ(detector.unheardFor(now + wire::seconds(5)), wire::Duration{0});
+  add("a", 2, 1);
+  detector.observe(table, now);
+  EXPECT_EQ(detector.unheardFor(now + wire::seconds(5)), wire::Duration{0});
+}
+
+}  // namespace
