--- a/src/machines/pages.cpp
+++ b/src/machines/placement_batches.cpp
@@ -1,4 +1,5 @@
-#include "machines/pages.hpp"
+// Placement record batches: decoding, sizing and encoding; see placement_batches.hpp.
+#include "machines/placement_batches.hpp"
 
 #include <algorithm>
 
@@ -15,17 +16,18 @@
 std::size_t attemptBytes(const Attempt& attempt) { return kAttemptFrame + attempt.task.job.text.size(); }
 }  // namespace
 
-std::string pageKey(std::uint32_t number) { return "placed/" + std::to_string(number); }
+std::string placementBatchKey(std::uint32_t number) { return "placed/" + std::to_string(number); }
 
-std::optional<std::vector<PagedHost>> decodePage(const Json& value) {
+std::optional<std::vector<BatchedHost>> decodePlacementBatch(const Json& value) {
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_object()) return std::nullopt;
-  std::vector<PagedHost> out;
+  std::vector<BatchedHost> out;
   for (const auto& [host, entry] : hosts->items()) {
     if (!entry.is_array() || entry.size() != 4 || !entry[0].is_string() || !entry[1].is_string() ||
         !entry[2].is_boolean() || !entry[3].is_array() || entry[3].size() % 2 != 0)
       return std::nullopt;
-    PagedHost paged{host, entry[0].get<std::string>(), entry[1].get<std::string>(), entry[2].get<bool>(), {}};
+    BatchedHost paged{
+        host, entry[0].get<std::string>(), entry[1].get<std::string>(), entry[2].get<bool>(), {}};
     const Json& list = entry[3];
     for (std::size_t i = 0; i < list.size(); i += 2) {
       const auto task = list[i].is_string() ? wire::parseTaskId(list[i].get<std::string>()) : std::nullopt;
@@ -37,32 +39,32 @@
   return out;
 }
 
-std::uint64_t PageTable::stamp(std::uint32_t number) const {
+std::uint64_t PlacementBatchTable::stamp(std::uint32_t number) const {
   const auto found = pages_.find(number);
   return found == pages_.end() ? 0 : found->second.stamp;
 }
 
-void PageTable::loaded(std::uint32_t number, std::uint64_t stamp, std::set<std::string> hosts) {
-  Page& page = pages_[number];
+void PlacementBatchTable::loaded(std::uint32_t number, std::uint64_t stamp, std::set<std::string> hosts) {
+  PlacementBatch& page = pages_[number];
   page.stamp = stamp;
   page.hosts = std::move(hosts);
 }
 
-std::vector<std::uint32_t> PageTable::naming(const std::string& host) const {
+std::vector<std::uint32_t> PlacementBatchTable::naming(const std::string& host) const {
   std::vector<std::uint32_t> out;
   for (const auto& [number, page] : pages_)
     if (page.hosts.contains(host)) out.push_back(number);
   return out;
 }
 
-void PageTable::weigh(const MachineTable& machines) {
+void PlacementBatchTable::weigh(const MachineTable& machines) {
   for (auto& [number, page] : pages_) page.bytes = kPageFrame;
   std::vector<std::uint32_t> seen;
   for (const auto& [host, machine] : machines.all()) {
     seen.clear();
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.paged) continue;
-      Page& page = pages_[*attempt.paged];
+      PlacementBatch& page = pages_[*attempt.paged];
       page.bytes += attemptBytes(attempt);
       if (std::find(seen.begin(), seen.end(), *attempt.paged) != seen.end()) continue;
       seen.push_back(*attempt.paged);
@@ -71,8 +73,9 @@
   }
 }
 
-std::optional<std::uint32_t> PageTable::place(const Machine& machine, const Attempt& attempt,
-                                              std::set<std::uint32_t>& round, std::size_t pagesMost) {
+std::optional<std::uint32_t> PlacementBatchTable::place(const Machine& machine, const Attempt& attempt,
+                                                        std::set<std::uint32_t>& round,
+                                                        std::size_t pagesMost) {
   // Its machine may stand in the page already; counted again, the page errs on the small side.
   const std::size_t bytes = attemptBytes(attempt) + hostBytes(machine);
   const auto take = [&](std::uint32_t number) {
@@ -81,12 +84,12 @@
     return number;
   };
   for (const std::uint32_t number : round)
-    if (pages_[number].bytes + bytes <= room_) return take(number);
+    if (pages_[number].bytes + bytes <= valueSizeLimit_) return take(number);
   if (round.size() >= pagesMost) return std::nullopt;
   // The emptiest page, if it is half empty: fuller ones would be written again for little.
   std::optional<std::uint32_t> best;
   for (const auto& [number, page] : pages_) {
-    if (round.contains(number) || page.bytes > room_ / 2) continue;
+    if (round.contains(number) || page.bytes > valueSizeLimit_ / 2) continue;
     if (!best || page.bytes < pages_[*best].bytes) best = number;
   }
   if (best) return take(*best);
@@ -95,9 +98,9 @@
   return take(fresh);
 }
 
-bool PageTable::shrink(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& round,
-                       std::size_t pagesMost) {
-  if (pages_[number].bytes <= room_) return round.size() < pagesMost;
+bool PlacementBatchTable::shrink(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& round,
+                                 std::size_t pagesMost) {
+  if (pages_[number].bytes <= valueSizeLimit_) return round.size() < pagesMost;
   for (auto& [host, machine] : machines.all()) {
     std::size_t left = 0;
     std::size_t moved = 0;
@@ -105,7 +108,7 @@
       if (attempt.paged != number) continue;
       ++left;
       // Its own place in the round is kept free.
-      if (pages_[number].bytes <= room_) continue;
+      if (pages_[number].bytes <= valueSizeLimit_) continue;
       const auto other = place(machine, attempt, round, pagesMost - 1);
       if (!other) return false;
       attempt.paged = other;
@@ -114,11 +117,11 @@
     }
     if (moved > 0 && moved == left) pages_[number].bytes -= hostBytes(machine);
   }
-  return pages_[number].bytes <= room_ && round.size() < pagesMost;
+  return pages_[number].bytes <= valueSizeLimit_ && round.size() < pagesMost;
 }
 
-std::map<std::uint32_t, Json> PageTable::encode(const MachineTable& machines,
-                                                const std::set<std::uint32_t>& numbers) const {
+std::map<std::uint32_t, Json> PlacementBatchTable::encode(const MachineTable& machines,
+                                                          const std::set<std::uint32_t>& numbers) const {
   std::map<std::uint32_t, Json> out;
   for (const std::uint32_t number : numbers) out[number] = Json{{"hosts", Json::object()}};
   for (const auto& [host, machine] : machines.all()) {
--- a/src/machines/pages.hpp
+++ b/src/machines/placement_batches.hpp
@@ -1,5 +1,6 @@
-// The durable placements. A page is one key of the state service and holds many attempts on many machines, so
-// that one change carries a whole round of placements. A page's next writing leaves out what has become free.
+// Durable placements as placement record batches. A batch is one key of the key-value store and holds the
+// placement records of many task attempts on many machines, so that one compare-and-swap carries a whole
+// scheduling round. The next write of a batch leaves out attempts that have become free.
 #pragma once
 
 #include <map>
@@ -11,15 +12,16 @@
 
 namespace reachhoist::machines {
 
-struct Page {
+// What the leader knows of one stored batch.
+struct PlacementBatch {
   std::uint64_t stamp = 0;      // 0: not written yet
   std::size_t bytes = 0;        // what is still held in it, counted in JSON form
   std::set<std::string> hosts;  // machines that its last written value names
 };
 
-std::string pageKey(std::uint32_t number);
+std::string placementBatchKey(std::uint32_t number);
 
-struct PagedHost {
+struct BatchedHost {
   std::string host;
   std::string machineType;
   std::string zone;
@@ -27,11 +29,12 @@
   std::vector<std::pair<wire::TaskId, std::uint64_t>> placed;
 };
 // Nothing when the record is malformed.
-std::optional<std::vector<PagedHost>> decodePage(const Json& value);
+std::optional<std::vector<BatchedHost>> decodePlacementBatch(const Json& value);
 
-class PageTable {
+// The placement record batches of the leader, sized against the store's value size limit in bytes.
+class PlacementBatchTable {
  public:
-  explicit PageTable(std::size_t valueBytes) : room_(valueBytes) {}
+  explicit PlacementBatchTable(std::size_t valueBytes) : valueSizeLimit_(valueBytes) {}
 
   void clear() { pages_.clear(); }
   void loaded(std::uint32_t number, std::uint64_t stamp, std::set<std::string> hosts);
@@ -59,8 +62,8 @@
                                        const std::set<std::uint32_t>& numbers) const;
 
  private:
-  std::map<std::uint32_t, Page> pages_;
-  std::size_t room_;
+  std::map<std::uint32_t, PlacementBatch> pages_;
+  std::size_t valueSizeLimit_;
 };
 
 }  // namespace reachhoist::machines
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -166,17 +166,17 @@
     context_.event(Level::error, "bad_record", {{"page", number}});
     return;
   }
-  const auto hosts = machines::decodePage(value);
+  const auto hosts = machines::decodePlacementBatch(value);
   std::set<std::string> names;
   if (hosts)
-    for (const machines::PagedHost& paged : *hosts) names.insert(paged.host);
+    for (const machines::BatchedHost& paged : *hosts) names.insert(paged.host);
   // Even a page that can't be read has a stamp, and its next writing depends on it.
   pages_.loaded(page, stamp, std::move(names));
   if (!hosts) {
     context_.event(Level::error, "bad_record", {{"page", number}});
     return;
   }
-  for (const machines::PagedHost& paged : *hosts) {
+  for (const machines::BatchedHost& paged : *hosts) {
     Machine& machine = machines_.add(paged.host);
     machine.machineType = paged.machineType;
     machine.zone = paged.zone;
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -12,7 +12,7 @@
 #include "fleet/sizing.hpp"
 #include "jobs/jobs.hpp"
 #include "machines/machines.hpp"
-#include "machines/pages.hpp"
+#include "machines/placement_batches.hpp"
 #include "placement/planner.hpp"
 #include "service/completion_records.hpp"
 #include "service/context.hpp"
@@ -175,7 +175,7 @@
   std::vector<std::string> retiringLoaded_;
 
   machines::MachineTable machines_;
-  machines::PageTable pages_;
+  machines::PlacementBatchTable pages_;
   std::set<std::uint32_t> stalePages_;  // that name machines which are gone
   Time nextClean_{};
   std::uint64_t retiringStamp_ = 0;
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -162,8 +162,8 @@
   for (auto& [number, value] : pages_.encode(machines_, pages)) {
     for (const auto& [host, entry] : value["hosts"].items()) names[number].insert(host);
     names.try_emplace(number);
-    transaction.conditions.push_back({machines::pageKey(number), pages_.stamp(number)});
-    transaction.writes.push_back({machines::pageKey(number), std::move(value), std::nullopt});
+    transaction.conditions.push_back({machines::placementBatchKey(number), pages_.stamp(number)});
+    transaction.writes.push_back({machines::placementBatchKey(number), std::move(value), std::nullopt});
   }
   for (const std::string& ref : jobs)
     transaction.conditions.push_back({jobs::jobKey(ref), jobs_.find(ref)->stamp});
