--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -12,13 +12,13 @@
 #include "fleet/sizing.hpp"
 #include "jobs/jobs.hpp"
 #include "machines/machines.hpp"
-#include "machines/pages.hpp"
+#include "machines/placement_batches.hpp"
 #include "placement/planner.hpp"
 #include "service/completion_records.hpp"
 #include "service/context.hpp"
+#include "service/partition_detector.hpp"
 #include "service/shares.hpp"
 #include "service/worker_commands.hpp"
-#include "service/zone_cuts.hpp"
 #include "state/feed.hpp"
 #include "state/transaction.hpp"
 
@@ -123,7 +123,7 @@
 
   // --- leader_gangs.cpp: attempts of gangs begin and end whole
   void forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit);
-  void toGang(jobs::Job& job, jobs::GangPhase next, const char* why);
+  void toGang(jobs::Job& job, jobs::GangState next, const char* why);
   void adoptGangs();
   bool gangMayStart(const Attempt& attempt);
   void gangWritten(jobs::Job& job);
@@ -175,7 +175,7 @@
   std::vector<std::string> retiringLoaded_;
 
   machines::MachineTable machines_;
-  machines::PageTable pages_;
+  machines::PlacementBatchTable pages_;
   std::set<std::uint32_t> stalePages_;  // that name machines which are gone
   Time nextClean_{};
   std::uint64_t retiringStamp_ = 0;
@@ -191,7 +191,7 @@
   Time replanAt_{};
   Time nextSilenceCheck_{};
   Time nextBootCheck_{};
-  ZoneCuts cuts_;
+  PartitionDetector cuts_;
   std::vector<placement::Unmet> unmet_;
   SharesInRounds shares_;
   std::set<std::string> reserving_;  // gangs of which some places are not in a transaction yet
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -98,7 +98,7 @@
     attempt.paged = pages_.place(*assignment.machine, attempt, pages, constants::kPagesPerRound);
     jobs::Gang& gang = assignment.job->gang;
     attempt.gang = assignment.job->isGang();
-    const bool begun = attempt.gang && gang.phase == jobs::GangPhase::reserving;
+    const bool begun = attempt.gang && gang.phase == jobs::GangState::reserving;
     if (!attempt.paged && !begun) {
       planDue_ = true;  // the rest goes with the next round
       break;
@@ -110,7 +110,7 @@
     if (attempt.gang && !begun) {
       gang.number = attempt.number;
       gang.shortRentals = 0;
-      toGang(*assignment.job, jobs::GangPhase::reserving, "room for all");
+      toGang(*assignment.job, jobs::GangState::reserving, "room for all");
     }
     attempt.each = spec.each;
     attempt.team = spec.team;
@@ -162,8 +162,8 @@
   for (auto& [number, value] : pages_.encode(machines_, pages)) {
     for (const auto& [host, entry] : value["hosts"].items()) names[number].insert(host);
     names.try_emplace(number);
-    transaction.conditions.push_back({machines::pageKey(number), pages_.stamp(number)});
-    transaction.writes.push_back({machines::pageKey(number), std::move(value), std::nullopt});
+    transaction.conditions.push_back({machines::placementBatchKey(number), pages_.stamp(number)});
+    transaction.writes.push_back({machines::placementBatchKey(number), std::move(value), std::nullopt});
   }
   for (const std::string& ref : jobs)
     transaction.conditions.push_back({jobs::jobKey(ref), jobs_.find(ref)->stamp});
