--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -1,3 +1,4 @@
+// Operators' edits of the fair-share table: read, compare-and-swap write, and retry until it applies.
 #include "admin/share_editor.hpp"
 
 #include <utility>
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -92,16 +92,16 @@
   return machine.unreachable && world.cut.contains(machine.zone);
 }
 
-bool inScaleOutBackoff(const FleetWorld& world, const placement::Unmet& unmet) {
+bool inScaleOutBackoff(const FleetWorld& world, const placement::UnplacedDemand& unmet) {
   return unmet.job->gang.nextRental > world.now;
 }
 
-std::vector<QueuedWork> queuedWork(const FleetWorld& world, const std::vector<placement::Unmet>& work,
-                                   bool withPartitioned) {
+std::vector<QueuedWork> queuedWork(const FleetWorld& world,
+                                   const std::vector<placement::UnplacedDemand>& work, bool withPartitioned) {
   std::vector<QueuedWork> out;
   std::unordered_map<std::string_view, ZoneCount*> zoned;
   out.reserve(work.size());
-  for (const placement::Unmet& unmet : work) {
+  for (const placement::UnplacedDemand& unmet : work) {
     out.push_back(QueuedWork{unmet, {}});
     if (unmet.job->spec.apart || unmet.job->spec.oneZone)
       zoned[unmet.job->spec.ref.text] = &out.back().byZone;
--- a/src/fleet/pending_instances.hpp
+++ b/src/fleet/pending_instances.hpp
@@ -25,7 +25,7 @@
 // The queued tasks of a job, and how many of its tasks each zone holds (counted only for jobs with zone
 // constraints).
 struct QueuedWork {
-  placement::Unmet unmet;
+  placement::UnplacedDemand unmet;
   ZoneCount byZone;
 };
 
@@ -67,12 +67,12 @@
 
 // Whether the cloud lately had too few instances for the gang: until its next try it is no reason to scale
 // out.
-bool inScaleOutBackoff(const FleetWorld& world, const placement::Unmet& unmet);
+bool inScaleOutBackoff(const FleetWorld& world, const placement::UnplacedDemand& unmet);
 
 // The work with the zones of each job's other tasks; with `withPartitioned` false, tasks on partitioned
 // machines are not counted.
-std::vector<QueuedWork> queuedWork(const FleetWorld& world, const std::vector<placement::Unmet>& work,
-                                   bool withPartitioned);
+std::vector<QueuedWork> queuedWork(const FleetWorld& world,
+                                   const std::vector<placement::UnplacedDemand>& work, bool withPartitioned);
 
 // The queued work that the pending instances have no free capacity for, less the gangs in scale-out backoff.
 // Claims the capacity of `pending` for the work that it covers.
--- a/src/fleet/pools.hpp
+++ b/src/fleet/pools.hpp
@@ -45,11 +45,12 @@
   Time now{};
   std::int64_t wallMs = 0;  // wall clock, in milliseconds since the epoch
   std::vector<Machine*> machines;
-  std::vector<placement::Unmet> unmet;
-  std::set<PoolKey> refused;                 // pools whose instance requests were refused lately
-  std::map<PoolKey, std::size_t> pending;    // instances requested, no answer yet
-  std::set<std::string> cut;                 // zones that seem partitioned away
-  std::vector<placement::Unmet> endangered;  // services on machines there, whose leases are running out
+  std::vector<placement::UnplacedDemand> unmet;
+  std::set<PoolKey> refused;               // pools whose instance requests were refused lately
+  std::map<PoolKey, std::size_t> pending;  // instances requested, no answer yet
+  std::set<std::string> cut;               // zones that seem partitioned away
+  std::vector<placement::UnplacedDemand>
+      endangered;  // services on machines there, whose leases are running out
   BootHistory bootTimes{};
 };
 
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -45,7 +45,7 @@
     out.free += instance.free.vcpus;
     out.freeByZone[instance.pool.zone] += instance.free.vcpus;
   }
-  for (const placement::Unmet& unmet : world.unmet)
+  for (const placement::UnplacedDemand& unmet : world.unmet)
     if (needsReserve(unmet.job->spec) && !inScaleOutBackoff(world, unmet))
       out.free -= unmet.job->spec.each.vcpus * unmet.tasks;
   return out;
--- a/src/placement/gangs.cpp
+++ b/src/placement/gangs.cpp
@@ -17,21 +17,22 @@
     if (attempt.gang && attempt.holdsRoom()) unreachableGangs_.insert(attempt.number);
 }
 
-Round::Seats Round::seats(const Job& job, const std::string& zone) const {
+Round::GangFit Round::gangFit(const Job& job, const std::string& zone) const {
   std::vector<std::pair<double, std::size_t>> order;
   for (std::size_t i = 0; i < bins_.size(); ++i) {
     const Bin& bin = bins_[i];
-    if ((zone.empty() || bin.machine->zone == zone) && job.spec.each.fitsIn(bin.room) && usable(bin, job))
+    if ((zone.empty() || bin.machine->zone == zone) && job.spec.each.fitsIn(bin.freeCapacity) &&
+        usable(bin, job))
       order.emplace_back(delay(bin, job), i);
   }
   std::sort(order.begin(), order.end());
-  Seats out;
+  GangFit out;
   ZoneCount placed;
   for (const auto& [seconds, at] : order) {
-    wire::Resources room = bins_[at].room;
-    while (out.bins.size() < job.spec.taskCount && job.spec.each.fitsIn(room) &&
+    wire::Resources freeCapacity = bins_[at].freeCapacity;
+    while (out.bins.size() < job.spec.taskCount && job.spec.each.fitsIn(freeCapacity) &&
            zoneAllows(job.spec, placed, bins_[at].machine->zone)) {
-      room -= job.spec.each;
+      freeCapacity -= job.spec.each;
       ++placed[bins_[at].machine->zone];
       out.bins.push_back(at);
       out.worstS = seconds;
@@ -53,11 +54,11 @@
   // Broken-up room never adds up to a gang while other work keeps taking it: what there is in the best
   // zone, and of the team's limit, is held for a bounded time, and again once the gang has waited too long.
   const auto waited = world_.now - job.waitingSince;
-  const bool holds = held_ < constants::kGangsHeld &&
+  const bool holds = reservedGangs_ < constants::kGangsHeld &&
                      (waited <= constants::kGangHold || waited >= constants::kOverlookedAfter);
   if (!withinLimit(job, job.spec.taskCount)) {
     if (!holds) return;
-    ++held_;
+    ++reservedGangs_;
     TeamUse& now = teams_[job.spec.team];
     now.cpus += job.spec.each.vcpus * job.spec.taskCount;
     now.gpus += job.spec.each.accelerators * job.spec.taskCount;
@@ -65,9 +66,9 @@
   }
   if (!plan_.assignments.empty() && plan_.assignments.size() + job.spec.taskCount > world_.maxTasks) return;
   if (jobs_ >= world_.maxJobs) return;
-  Seats best;
+  GangFit best;
   for (const std::string& zone : gangZones(job)) {
-    Seats found = seats(job, zone);
+    GangFit found = gangFit(job, zone);
     if (found.bins.size() > best.bins.size() ||
         (found.bins.size() == best.bins.size() && found.worstS < best.worstS))
       best = std::move(found);
@@ -77,19 +78,19 @@
     ++jobs_;
     return;
   }
-  plan_.unmet.push_back(Unmet{&job, job.spec.taskCount});
+  plan_.unplaced.push_back(UnplacedDemand{&job, job.spec.taskCount});
   makeRoomForGang(job);
   if (!holds) return;
-  ++held_;
-  for (const std::size_t at : best.bins) bins_[at].room -= job.spec.each;
+  ++reservedGangs_;
+  for (const std::size_t at : best.bins) bins_[at].freeCapacity -= job.spec.each;
 }
 
 void Round::makeRoomForGang(const Job& job) {
   const bool guaranteed = withinGuarantee(job.spec.ref.text);
-  const bool entitled = ledger_ && ledger_->mayClaim(job);
+  const bool entitled = shareAccount_ && shareAccount_->mayClaim(job);
   if (entitled) entitled_.push_back(&job);
-  const bool reclaims = entitled && world_.mayReclaim && ledger_->withinStep();
-  if (job.spec.priority <= lowestPriority_ && !(guaranteed && anyOverGuarantee_) && !reclaims) return;
+  const bool preemptsForShare = entitled && world_.mayPreemptForShares && shareAccount_->withinStep();
+  if (job.spec.priority <= lowestPriority_ && !(guaranteed && anyOverGuarantee_) && !preemptsForShare) return;
   struct Option {
     double cost = 0;
     Bin* bin = nullptr;
@@ -102,33 +103,33 @@
     std::vector<Option> options;
     for (Bin& bin : bins_) {
       if ((!zone.empty() && bin.machine->zone != zone) || !usable(bin, job)) continue;
-      wire::Resources room = bin.room;
+      wire::Resources freeCapacity = bin.freeCapacity;
       std::vector<const machines::Attempt*> candidates;
       for (const machines::Attempt& attempt : bin.machine->attempts) {
         if (!attempt.holdsRoom()) continue;
         if (attempt.stopWanted || stopped_.contains(attempt.number)) {
-          room += attempt.each;  // on its way out
-        } else if (!attempt.gang &&
-                   (mayStop(job, guaranteed, attempt) || (reclaims && mayReclaim(job, attempt)))) {
+          freeCapacity += attempt.each;  // on its way out
+        } else if (!attempt.gang && (mayStop(job, guaranteed, attempt) ||
+                                     (preemptsForShare && mayPreemptForShare(job, attempt)))) {
           candidates.push_back(&attempt);
         }
       }
-      const auto takeSeats = [&] {
-        std::uint32_t seats = 0;
-        for (; job.spec.each.fitsIn(room); ++seats) room -= job.spec.each;
-        return seats;
+      const auto countFittingTasks = [&] {
+        std::uint32_t fitting = 0;
+        for (; job.spec.each.fitsIn(freeCapacity); ++fitting) freeCapacity -= job.spec.each;
+        return fitting;
       };
-      fit += takeSeats();
+      fit += countFittingTasks();
       std::sort(candidates.begin(), candidates.end(), [this](const auto* a, const auto* b) {
         return a->priority != b->priority ? a->priority < b->priority : loss(*a) < loss(*b);
       });
       Option option{0, &bin, {}};
       double dearest = 0;
       for (const auto* victim : candidates) {
-        room += victim->each;
+        freeCapacity += victim->each;
         option.cost += loss(*victim) + 1;
         option.victims.push_back(victim);
-        if (takeSeats() == 0) continue;
+        if (countFittingTasks() == 0) continue;
         // A bin's options build on each other, so a later one is never chosen before an earlier.
         option.cost = dearest = std::max(dearest, option.cost);
         options.push_back(std::exchange(option, Option{0, &bin, {}}));
@@ -147,13 +148,13 @@
     best = std::move(options);
   }
   if (plan_.stops.size() + best.size() > world_.maxStops) return;
-  if (reclaims) {
-    std::vector<const machines::Attempt*> reclaimed;
+  if (preemptsForShare) {
+    std::vector<const machines::Attempt*> shareVictims;
     for (const Option& option : best)
       for (const auto* victim : option.victims)
-        if (!mayStop(job, guaranteed, *victim)) reclaimed.push_back(victim);
-    if (!giveAll(reclaimed)) return;
-    ledger_->claim(job);
+        if (!mayStop(job, guaranteed, *victim)) shareVictims.push_back(victim);
+    if (!giveAll(shareVictims)) return;
+    shareAccount_->claim(job);
   }
   for (const Option& option : best) {
     for (const auto* victim : option.victims) {
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -1,3 +1,5 @@
+// Placement rules that do not need a round's state: machine eligibility, zone spread, and the jobs that
+// rank above fair shares (high priority, or within their team's quota).
 #include "placement/planner.hpp"
 
 #include <algorithm>
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "machines/machines.hpp"
-#include "shares/census.hpp"
+#include "shares/usage.hpp"
 
 namespace reachhoist::placement {
 
@@ -30,7 +30,7 @@
 };
 
 // Work that found no room: what sizing follows.
-struct Unmet {
+struct UnplacedDemand {
   const Job* job = nullptr;
   std::uint32_t tasks = 0;
 };
@@ -38,9 +38,9 @@
 struct Plan {
   std::vector<Assignment> assignments;
   std::vector<Stop> stops;
-  std::vector<Unmet> unmet;
-  bool triedReclaiming = false;  // looked for work to stop for the sake of shares
-  std::size_t reclaimed = 0;     // of the stops, those for the sake of shares; a gang counts once
+  std::vector<UnplacedDemand> unplaced;
+  bool triedSharePreemption = false;  // looked for work to stop for the sake of shares
+  std::size_t sharePreemptions = 0;   // of the stops, those for the sake of shares; a gang counts once
 };
 
 struct TeamUse {
@@ -59,7 +59,7 @@
   std::size_t maxTasks = constants::kTasksPerRound;
   std::size_t maxStops = constants::kStopsPerRound;
   const shares::Table* shares = nullptr;  // none: nothing is divided
-  bool mayReclaim = false;                // whether this round may stop work for the sake of shares
+  bool mayPreemptForShares = false;       // whether this round may stop work for the sake of shares
 };
 
 // Whether machines of this kind may run the job at all (its other tasks aside).
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -32,7 +32,7 @@
 std::uint32_t Round::makeRoom(const Job& job, std::uint32_t tasks) {
   const bool guaranteed = withinGuarantee(job.spec.ref.text);
   if (job.spec.priority <= lowestPriority_ && !(guaranteed && anyOverGuarantee_)) return 0;
-  std::uint32_t covered = ledger_ ? countComing(job, tasks) : comingFor(job);
+  std::uint32_t covered = shareAccount_ ? countComing(job, tasks) : comingFor(job);
   for (; covered < tasks && plan_.stops.size() < world_.maxStops; ++covered)
     if (!stopFor(job, guaranteed)) break;
   return covered;
@@ -43,7 +43,7 @@
   std::uint32_t coming = 0;
   for (const Bin& bin : bins_) {
     if (!bin.stopping || !usable(bin, job)) continue;
-    wire::Resources freeing = bin.room;
+    wire::Resources freeing = bin.freeCapacity;
     for (const machines::Attempt& attempt : bin.machine->attempts)
       if (attempt.holdsRoom() && attempt.stopWanted) freeing += attempt.each;
     while (job.spec.each.fitsIn(freeing)) {
@@ -72,16 +72,16 @@
       if (a->priority != b->priority) return a->priority < b->priority;
       return loss(*a) < loss(*b);
     });
-    wire::Resources room = bin.room;
+    wire::Resources freeCapacity = bin.freeCapacity;
     std::vector<const machines::Attempt*> victims;
     double cost = machine.has(job.spec.image) ? 0 : job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
     for (const auto* victim : candidates) {
-      if (job.spec.each.fitsIn(room)) break;
-      room += victim->each;
+      if (job.spec.each.fitsIn(freeCapacity)) break;
+      freeCapacity += victim->each;
       cost += loss(*victim) + 1;
       victims.push_back(victim);
     }
-    if (!job.spec.each.fitsIn(room) || victims.empty() || cost >= bestCost) continue;
+    if (!job.spec.each.fitsIn(freeCapacity) || victims.empty() || cost >= bestCost) continue;
     bestBin = &bin;
     bestVictims = std::move(victims);
     bestCost = cost;
@@ -89,13 +89,13 @@
   if (bestBin == nullptr) return false;
   for (const auto* victim : bestVictims) {
     stopped_.insert(victim->number);
-    if (ledger_) ledger_->leave(*victim);
-    bestBin->room += victim->each;
+    if (shareAccount_) shareAccount_->leave(*victim);
+    bestBin->freeCapacity += victim->each;
     plan_.stops.push_back(
         Stop{bestBin->machine, victim->task, victim->number, victim->saves ? victim->checkpointS + 1 : 0});
   }
   // Held for the one it was made for.
-  bestBin->room -= job.spec.each;
+  bestBin->freeCapacity -= job.spec.each;
   if (job.spec.apart || job.spec.oneZone) placed_[job.spec.ref.text][bestBin->machine->zone] += 1;
   return true;
 }
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -1,9 +1,11 @@
+// One placement round: builds the bins (machines with free capacity), orders the waiting jobs by tier and
+// SLO deadline, and places them task by task or, for gangs, all at once.
 #include "placement/round.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "placement/aims.hpp"
+#include "placement/slo.hpp"
 
 namespace reachhoist::placement {
 
@@ -20,7 +22,7 @@
     Bin bin{machine, machine->total, wire::Priority::prod, false, {}, {}, false, {}};
     for (const machines::Attempt& attempt : machine->attempts) {
       if (!attempt.holdsRoom()) continue;
-      bin.room -= attempt.each;
+      bin.freeCapacity -= attempt.each;
       if (limited) {
         TeamUse& use = teams_[attempt.team];
         use.cpus += attempt.each.vcpus;
@@ -48,13 +50,13 @@
 
 Plan Round::run() {
   guaranteed_ = guaranteedJobs(world_.settings, world_.open);
-  if (world_.shares != nullptr) openLedger();
+  if (world_.shares != nullptr) openShareAccount();
   std::vector<Turn> order;
   order.reserve(world_.jobs.size());
   for (Job* job : world_.jobs) order.push_back(turnOf(*job));
   std::stable_sort(order.begin(), order.end(), before);
   for (const Turn& turn : order) placeJob(turn);
-  if (ledger_) placeHeld();
+  if (shareAccount_) placeBeyondShare();
   return std::move(plan_);
 }
 
@@ -78,12 +80,12 @@
 
 Turn Round::turnOf(Job& job) const {
   if (job.spec.priority >= wire::Priority::high) return Turn{&job, Tier::byPriority, 0};
-  const Call call = nextCall(job, world_.settings, world_.wallMs);
-  if (withinGuarantee(job.spec.ref.text)) return Turn{&job, Tier::guaranteed, call.latestStartMs};
-  if (ledger_ && ledger_->mustGoOn(job)) return Turn{&job, Tier::overlooked, job.acceptedMs};
+  const SloOutlook outlook = sloOutlook(job, world_.settings, world_.wallMs);
+  if (withinGuarantee(job.spec.ref.text)) return Turn{&job, Tier::guaranteed, outlook.latestStartMs};
+  if (shareAccount_ && shareAccount_->mustGoOn(job)) return Turn{&job, Tier::overlooked, job.acceptedMs};
   if (world_.now - job.lastPlaced > constants::kOverlookedAfter)
     return Turn{&job, Tier::overlooked, job.acceptedMs};
-  return Turn{&job, call.reachable ? Tier::reachable : Tier::late, call.latestStartMs};
+  return Turn{&job, outlook.reachable ? Tier::reachable : Tier::late, outlook.latestStartMs};
 }
 
 bool Round::withinLimit(const Job& job, std::uint32_t tasks) const {
@@ -114,7 +116,7 @@
     seconds += shared ? fetch * constants::kSharedFetchS : fetch;
   }
   if (job.spec.spot && !machine.spot) seconds += constants::kWrongKindS;
-  const double used = 1 - bin.room.vcpus / std::max(machine.total.vcpus, 0.01);
+  const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, 0.01);
   seconds +=
       (job.spec.priority >= wire::Priority::high ? constants::kEmptyServiceS : constants::kEmptyArrayS) *
       (1 - used);
@@ -142,7 +144,8 @@
   const bool leftover = beyond == BeyondShare::leftover;
   std::vector<Choice> heap;
   for (std::size_t i = 0; i < bins_.size(); ++i)
-    if (job.spec.each.fitsIn(bins_[i].room) && usable(bins_[i], job) && !(leftover && bins_[i].awaited))
+    if (job.spec.each.fitsIn(bins_[i].freeCapacity) && usable(bins_[i], job) &&
+        !(leftover && bins_[i].awaited))
       heap.push_back(Choice{delay(bins_[i], job), i});
   std::make_heap(heap.begin(), heap.end());
   std::uint32_t taken = 0;
@@ -165,7 +168,7 @@
     if (!zoneOpen(job, bin.machine->zone)) continue;  // a full zone stays full for this round
     take(bin, job, index++);
     ++taken;
-    if (!job.spec.each.fitsIn(bin.room)) continue;
+    if (!job.spec.each.fitsIn(bin.freeCapacity)) continue;
     heap.push_back(Choice{delay(bin, job), at});
     std::push_heap(heap.begin(), heap.end());
   }
@@ -178,7 +181,7 @@
   Fill progress{job.firstWaiting, 0, FillLimit::none};
   // What has waited too long gets a start whatever its group has, if nothing of it runs.
   const bool overlooked = turn.tier == Tier::overlooked && job.placed == 0;
-  if (!overlooked && !withinShare(job)) return heldByShare_.emplace_back(turn, progress), void();
+  if (!overlooked && !withinShare(job)) return atFairShare_.emplace_back(turn, progress), void();
   if (job.isGang()) return placeGang(job);
   if (job.failures.jobAtFault()) return tryAgain(job);
   const std::uint32_t most = mostOf(turn);
@@ -188,14 +191,14 @@
   }
   std::uint32_t left = job.waiting - progress.taken;
   if (left == 0 || progress.limit == FillLimit::team) return;
-  if (progress.limit == FillLimit::share) return heldByShare_.emplace_back(turn, progress), void();
+  if (progress.limit == FillLimit::share) return atFairShare_.emplace_back(turn, progress), void();
   left = withinTeamLimit(job, left);
   if (left == 0) return;
-  plan_.unmet.push_back(Unmet{&job, left});
+  plan_.unplaced.push_back(UnplacedDemand{&job, left});
   if (plan_.assignments.size() >= world_.maxTasks) return;
   const std::uint32_t wanted = std::min(left, most);
   const std::uint32_t covered = turn.tier <= Tier::overlooked ? makeRoom(job, wanted) : 0;
-  if (ledger_) reclaim(job, wanted, covered);
+  if (shareAccount_) preemptForShare(job, wanted, covered);
 }
 
 std::uint32_t Round::mostOf(const Turn& turn) {
@@ -220,13 +223,13 @@
 }
 
 void Round::take(Bin& bin, Job& job, std::uint32_t index) {
-  bin.room -= job.spec.each;
+  bin.freeCapacity -= job.spec.each;
   if (!bin.brings(job.spec.image)) bin.planned.push_back(&job.spec.image);
   if (job.spec.apart || job.spec.oneZone) placed_[job.spec.ref.text][bin.machine->zone] += 1;
   TeamUse& now = teams_[job.spec.team];
   now.cpus += job.spec.each.vcpus;
   now.gpus += job.spec.each.accelerators;
-  if (ledger_) ledger_->take(job);
+  if (shareAccount_) shareAccount_->take(job);
   plan_.assignments.push_back(Assignment{&job, index, bin.machine});
 }
 
--- a/src/placement/round.hpp
+++ b/src/placement/round.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "placement/planner.hpp"
-#include "shares/ledger.hpp"
+#include "shares/share_account.hpp"
 
 namespace reachhoist::placement {
 
@@ -21,7 +21,7 @@
 // A machine that takes work, with the room that this round has left.
 struct Bin {
   Machine* machine;
-  wire::Resources room;
+  wire::Resources freeCapacity;
   wire::Priority lowest = wire::Priority::prod;  // of what it has and what isn't being stopped
   bool stopping = false;                         // something on it is on its way out
   wire::Resources leaving;                       // held by what is on its way out
@@ -29,6 +29,19 @@
   bool awaited = false;  // by a job that is entitled to it; known once all such jobs have had their turn
   std::vector<const std::string*> planned;  // images that this round's tasks bring
 
+  // Free capacity once what is on its way out has left.
+  wire::Resources capacityAfterStops() const {
+    wire::Resources out = freeCapacity;
+    out += leaving;
+    return out;
+  }
+  // Of the capacity after stops, what no job counts on yet.
+  wire::Resources unpromisedCapacity() const {
+    wire::Resources out = capacityAfterStops();
+    out -= promised;
+    return out;
+  }
+
   bool brings(const std::string& image) const {
     return std::any_of(planned.begin(), planned.end(), [&](const auto* other) { return *other == image; });
   }
@@ -89,11 +102,11 @@
   void fill(Job& job, std::uint32_t most, BeyondShare beyond, Fill& progress);
   // Where all tasks of a gang fit at once, in one zone or (for an empty name) anywhere: bins, one for each
   // task.
-  struct Seats {
+  struct GangFit {
     std::vector<std::size_t> bins;
     double worstS = 0;  // until the last of them can start
   };
-  Seats seats(const Job& job, const std::string& zone) const;
+  GangFit gangFit(const Job& job, const std::string& zone) const;
   std::vector<std::string> gangZones(const Job& job) const;
   // All or nothing, in one decision, and nothing while anything of an earlier attempt may be on a machine.
   void placeGang(Job& job);
@@ -120,36 +133,38 @@
   static bool isStoppable(const machines::Attempt& attempt);
   // Stops the cheapest set that makes room for one task.
   bool stopFor(const Job& job, bool guaranteed);
-  // --- reclaim.cpp: groups get what they are entitled to
-  void openLedger();
+  // --- share_preemption.cpp: groups get what they are entitled to
+  void openShareAccount();
   // Whether shares let another task of the job, or its whole gang, start now.
-  bool withinShare(const Job& job) const { return !ledger_ || ledger_->mayTake(job); }
+  bool withinShare(const Job& job) const { return !shareAccount_ || shareAccount_->mayTake(job); }
   // Jobs whose groups have what they are entitled to get the room that no entitled job waits for.
-  void placeHeld();
-  void placeHeldJob(const Turn& turn, Fill progress);
+  void placeBeyondShare();
+  void placeJobBeyondShare(const Turn& turn, Fill progress);
   bool isAwaited(const Bin& bin) const;
   // Whether an earlier job that asked for no more, and could go anywhere, found nothing to stop in this
   // round.
-  bool askedInVain(const Job& job) const;
+  bool foundNoVictimsBefore(const Job& job) const;
   // Asks groups above their entitlement for the room of so many tasks, as far as the job's group lies below
   // its own. For some of them, there is room already, or soon.
-  void reclaim(const Job& job, std::uint32_t tasks, std::uint32_t covered);
+  void preemptForShare(const Job& job, std::uint32_t tasks, std::uint32_t covered);
   // Room that is coming is counted on once: nothing is stopped twice for one claim.
   std::uint32_t countComing(const Job& job, std::uint32_t tasks);
   std::uint32_t countComingOn(Bin& bin, const Job& job, std::uint32_t tasks) const;
   // What one machine gives up for one task.
-  struct Yield {
+  struct PreemptionCandidate {
     double cost = 0;
     std::size_t bin = 0;
     std::vector<const machines::Attempt*> victims;
-    bool operator<(const Yield& other) const { return cost > other.cost; }  // heaps give the cheapest
+    bool operator<(const PreemptionCandidate& other) const {
+      return cost > other.cost;
+    }  // heaps give the cheapest
   };
-  std::optional<Yield> yieldOf(const Job& job, std::size_t at) const;
-  void takeYield(const Job& job, const Yield& yield);
+  std::optional<PreemptionCandidate> preemptionCandidate(const Job& job, std::size_t at) const;
+  void preemptCandidate(const Job& job, const PreemptionCandidate& candidate);
   // For a gang: gives all of them, or none if that took a group below its entitlement.
   bool giveAll(const std::vector<const machines::Attempt*>& victims);
   void stopForShare(Bin& bin, const machines::Attempt& victim);
-  bool mayReclaim(const Job& job, const machines::Attempt& attempt) const;
+  bool mayPreemptForShare(const Job& job, const machines::Attempt& attempt) const;
   // Lower rank or a guarantee allow it, whatever the shares are.
   bool outranks(const Job& job, bool guaranteed, const machines::Attempt& attempt) const;
   // Seconds of work that stopping it loses.
@@ -167,12 +182,12 @@
   wire::Priority lowestPriority_ = wire::Priority::prod;
   bool anyOverGuarantee_ = false;
   std::size_t jobs_ = 0;
-  bool anySpot_ = false;  // some machine is
-  std::size_t held_ = 0;  // gangs for which room is held
-  std::optional<shares::Ledger> ledger_;
-  std::vector<std::pair<Turn, Fill>> heldByShare_;
-  std::vector<const Job*> inVain_;    // jobs that could go anywhere, and found nothing to stop
-  std::vector<const Job*> entitled_;  // below their entitlement, and without room
+  bool anySpot_ = false;           // some machine is
+  std::size_t reservedGangs_ = 0;  // gangs for which room is held
+  std::optional<shares::ShareAccount> shareAccount_;
+  std::vector<std::pair<Turn, Fill>> atFairShare_;
+  std::vector<const Job*> foundNoVictims_;  // jobs that could go anywhere, and found nothing to stop
+  std::vector<const Job*> entitled_;        // below their entitlement, and without room
 };
 
 }  // namespace reachhoist::placement
--- a/src/placement/reclaim.cpp
+++ b/src/placement/share_preemption.cpp
@@ -6,26 +6,26 @@
 
 namespace reachhoist::placement {
 
-void Round::openLedger() {
+void Round::openShareAccount() {
   const auto ranksAbove = [this](const Job& job) {
     return job.spec.priority >= wire::Priority::high || withinGuarantee(job.spec.ref.text);
   };
-  ledger_.emplace(
-      shares::takeCensus(*world_.shares, world_.settings, world_.machines, world_.open, ranksAbove),
+  shareAccount_.emplace(
+      shares::takeUsageSnapshot(*world_.shares, world_.settings, world_.machines, world_.open, ranksAbove),
       world_.settings.operators.shares.reclaimStep);
 }
 
-void Round::placeHeld() {
+void Round::placeBeyondShare() {
   // What is awaited now stays so: nobody takes room there, and elsewhere room only becomes less.
   for (Bin& bin : bins_) bin.awaited = isAwaited(bin);
-  for (const auto& [turn, progress] : std::exchange(heldByShare_, {})) placeHeldJob(turn, progress);
+  for (const auto& [turn, progress] : std::exchange(atFairShare_, {})) placeJobBeyondShare(turn, progress);
 }
 
-void Round::placeHeldJob(const Turn& turn, Fill progress) {
+void Round::placeJobBeyondShare(const Turn& turn, Fill progress) {
   Job& job = *turn.job;
   if (job.isGang()) {
     if (entitled_.empty()) return placeGang(job);
-    plan_.unmet.push_back(Unmet{&job, job.spec.taskCount});
+    plan_.unplaced.push_back(UnplacedDemand{&job, job.spec.taskCount});
     return;
   }
   if (job.failures.jobAtFault()) return;
@@ -35,18 +35,19 @@
     fill(job, mostOf(turn) - std::min(before, mostOf(turn)), BeyondShare::leftover, progress);
     if (progress.taken > before) ++jobs_;
   }
-  // Sizing hears of the rest as ever: the fleet grows for all that waits, shares divide what there is.
+  // Sizing hears of the rest as ever: the fleet grows for all that waits, shares divide what there
+  // is.
   std::uint32_t left = job.waiting - progress.taken;
   if (progress.limit == FillLimit::team) return;
   left = withinTeamLimit(job, left);
-  if (left > 0) plan_.unmet.push_back(Unmet{&job, left});
+  if (left > 0) plan_.unplaced.push_back(UnplacedDemand{&job, left});
 }
 
 bool Round::isAwaited(const Bin& bin) const {
-  wire::Resources room = bin.room;
-  room += bin.leaving;
-  return std::any_of(entitled_.begin(), entitled_.end(),
-                     [&](const Job* job) { return job->spec.each.fitsIn(room) && usable(bin, *job); });
+  const wire::Resources freeCapacity = bin.capacityAfterStops();
+  return std::any_of(entitled_.begin(), entitled_.end(), [&](const Job* job) {
+    return job->spec.each.fitsIn(freeCapacity) && usable(bin, *job);
+  });
 }
 
 std::uint32_t Round::countComing(const Job& job, std::uint32_t tasks) {
@@ -58,58 +59,58 @@
 
 std::uint32_t Round::countComingOn(Bin& bin, const Job& job, std::uint32_t tasks) const {
   if (tasks == 0 || !bin.stopping || !usable(bin, job)) return 0;
-  wire::Resources room = bin.room;
-  room += bin.leaving;
-  room -= bin.promised;
+  wire::Resources freeCapacity = bin.unpromisedCapacity();
   std::uint32_t coming = 0;
-  for (; coming < tasks && job.spec.each.fitsIn(room); ++coming) {
-    room -= job.spec.each;
+  for (; coming < tasks && job.spec.each.fitsIn(freeCapacity); ++coming) {
+    freeCapacity -= job.spec.each;
     bin.promised += job.spec.each;
   }
   return coming;
 }
 
-void Round::reclaim(const Job& job, std::uint32_t tasks, std::uint32_t covered) {
-  for (std::uint32_t i = 0; i < covered; ++i) ledger_->claim(job);
-  if (jobs_ >= world_.maxJobs || !ledger_->mayTake(job)) return;
+void Round::preemptForShare(const Job& job, std::uint32_t tasks, std::uint32_t covered) {
+  for (std::uint32_t i = 0; i < covered; ++i) shareAccount_->claim(job);
+  if (jobs_ >= world_.maxJobs || !shareAccount_->mayTake(job)) return;
   entitled_.push_back(&job);
   const std::uint32_t coming = countComing(job, tasks - std::min(covered, tasks));
-  for (std::uint32_t i = 0; i < coming; ++i) ledger_->claim(job);
+  for (std::uint32_t i = 0; i < coming; ++i) shareAccount_->claim(job);
   covered += coming;
-  if (!world_.mayReclaim || !ledger_->withinStep() || covered >= tasks || !ledger_->mayClaim(job)) return;
-  if (!ledger_->anyAbove() || askedInVain(job)) return;
-  plan_.triedReclaiming = true;
-  std::vector<Yield> heap;
+  if (!world_.mayPreemptForShares || !shareAccount_->withinStep() || covered >= tasks ||
+      !shareAccount_->mayClaim(job))
+    return;
+  if (!shareAccount_->anyAbove() || foundNoVictimsBefore(job)) return;
+  plan_.triedSharePreemption = true;
+  std::vector<PreemptionCandidate> heap;
   for (std::size_t at = 0; at < bins_.size(); ++at)
-    if (auto yield = yieldOf(job, at)) heap.push_back(std::move(*yield));
+    if (auto candidate = preemptionCandidate(job, at)) heap.push_back(std::move(*candidate));
   const bool anywhere = !job.spec.machineTypes && !job.spec.zone && !job.spec.oneZone && !job.spec.apart;
-  if (heap.empty() && anywhere && (job.spec.spot || !anySpot_)) inVain_.push_back(&job);
+  if (heap.empty() && anywhere && (job.spec.spot || !anySpot_)) foundNoVictims_.push_back(&job);
   std::make_heap(heap.begin(), heap.end());
-  while (!heap.empty() && covered < tasks && ledger_->withinStep() && ledger_->mayClaim(job)) {
+  while (!heap.empty() && covered < tasks && shareAccount_->withinStep() && shareAccount_->mayClaim(job)) {
     std::pop_heap(heap.begin(), heap.end());
-    const Yield ranked = std::move(heap.back());
+    const PreemptionCandidate ranked = std::move(heap.back());
     heap.pop_back();
     // What was taken since it was ranked may have changed what this machine can give.
-    auto yield = yieldOf(job, ranked.bin);
-    if (!yield) continue;
-    if (yield->cost <= ranked.cost) {
-      takeYield(job, *yield);
+    auto candidate = preemptionCandidate(job, ranked.bin);
+    if (!candidate) continue;
+    if (candidate->cost <= ranked.cost) {
+      preemptCandidate(job, *candidate);
       ++covered;
-      yield = yieldOf(job, ranked.bin);
-      if (!yield) continue;
+      candidate = preemptionCandidate(job, ranked.bin);
+      if (!candidate) continue;
     }
-    heap.push_back(std::move(*yield));
+    heap.push_back(std::move(*candidate));
     std::push_heap(heap.begin(), heap.end());
   }
 }
 
-bool Round::askedInVain(const Job& job) const {
-  return std::any_of(inVain_.begin(), inVain_.end(), [&](const Job* other) {
+bool Round::foundNoVictimsBefore(const Job& job) const {
+  return std::any_of(foundNoVictims_.begin(), foundNoVictims_.end(), [&](const Job* other) {
     return other->spec.each.fitsIn(job.spec.each) && other->spec.priority >= job.spec.priority;
   });
 }
 
-std::optional<Round::Yield> Round::yieldOf(const Job& job, std::size_t at) const {
+std::optional<Round::PreemptionCandidate> Round::preemptionCandidate(const Job& job, std::size_t at) const {
   const Bin& bin = bins_[at];
   const Machine& machine = *bin.machine;
   if (bin.lowest > job.spec.priority || !usable(bin, job)) return std::nullopt;
@@ -119,36 +120,34 @@
   }
   std::vector<const machines::Attempt*> candidates;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (mayReclaim(job, attempt)) candidates.push_back(&attempt);
+    if (mayPreemptForShare(job, attempt)) candidates.push_back(&attempt);
   std::sort(candidates.begin(), candidates.end(),
             [this](const auto* a, const auto* b) { return loss(*a) < loss(*b); });
-  Yield yield;
-  yield.bin = at;
-  yield.cost = machine.has(job.spec.image) ? 0 : job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
-  wire::Resources room = bin.room;
-  room += bin.leaving;
-  room -= bin.promised;
-  shares::Ledger::Trial trial(*ledger_);
+  PreemptionCandidate candidate;
+  candidate.bin = at;
+  candidate.cost = machine.has(job.spec.image) ? 0 : job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
+  wire::Resources freeCapacity = bin.unpromisedCapacity();
+  shares::ShareAccount::Trial trial(*shareAccount_);
   for (const auto* victim : candidates) {
-    if (job.spec.each.fitsIn(room)) break;
+    if (job.spec.each.fitsIn(freeCapacity)) break;
     if (!trial.mayGive(*victim)) continue;
     trial.give(*victim);
-    room += victim->each;
-    yield.cost += loss(*victim) + 1;
-    yield.victims.push_back(victim);
+    freeCapacity += victim->each;
+    candidate.cost += loss(*victim) + 1;
+    candidate.victims.push_back(victim);
   }
-  if (yield.victims.empty() || !job.spec.each.fitsIn(room)) return std::nullopt;
-  return yield;
+  if (candidate.victims.empty() || !job.spec.each.fitsIn(freeCapacity)) return std::nullopt;
+  return candidate;
 }
 
-void Round::takeYield(const Job& job, const Yield& yield) {
-  Bin& bin = bins_[yield.bin];
-  for (const auto* victim : yield.victims) {
-    ledger_->give(*victim);
+void Round::preemptCandidate(const Job& job, const PreemptionCandidate& candidate) {
+  Bin& bin = bins_[candidate.bin];
+  for (const auto* victim : candidate.victims) {
+    shareAccount_->give(*victim);
     stopForShare(bin, *victim);
   }
   bin.promised += job.spec.each;
-  ledger_->claim(job);
+  shareAccount_->claim(job);
   if (job.spec.apart || job.spec.oneZone) placed_[job.spec.ref.text][bin.machine->zone] += 1;
 }
 
@@ -158,23 +157,23 @@
   bin.stopping = true;
   plan_.stops.push_back(
       Stop{bin.machine, victim.task, victim.number, victim.saves ? victim.checkpointS + 1 : 0});
-  ++plan_.reclaimed;
+  ++plan_.sharePreemptions;
 }
 
 bool Round::giveAll(const std::vector<const machines::Attempt*>& victims) {
-  shares::Ledger::Trial trial(*ledger_);
+  shares::ShareAccount::Trial trial(*shareAccount_);
   for (const auto* victim : victims) {
     if (!trial.mayGive(*victim)) return false;
     trial.give(*victim);
   }
-  for (const auto* victim : victims) ledger_->give(*victim);
-  plan_.reclaimed += victims.size();
+  for (const auto* victim : victims) shareAccount_->give(*victim);
+  plan_.sharePreemptions += victims.size();
   return true;
 }
 
-bool Round::mayReclaim(const Job& job, const machines::Attempt& attempt) const {
+bool Round::mayPreemptForShare(const Job& job, const machines::Attempt& attempt) const {
   return isStoppable(attempt) && !stopped_.contains(attempt.number) &&
-         attempt.priority <= job.spec.priority && ledger_->mayGive(attempt);
+         attempt.priority <= job.spec.priority && shareAccount_->mayGive(attempt);
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/aims.cpp
+++ b/src/placement/slo.cpp
@@ -1,4 +1,5 @@
-#include "placement/aims.hpp"
+// Service-level objectives of a job: the latest start time that still meets one, given the team's quota.
+#include "placement/slo.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -21,7 +22,7 @@
 
 }  // namespace
 
-Call nextCall(const jobs::Job& job, const config::Settings& settings, std::int64_t wallMs) {
+SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallMs) {
   const double runs = waves(job, settings);
   const double expectS = job.spec.expectS;
   // Estimates are often wrong by half: an aim is given up only when it would be missed by that much.
@@ -48,7 +49,7 @@
   if (job.spec.dueS && !due) consider(*job.spec.dueS - expectS * runs);
   if (!any) consider(wire::toSeconds(constants::kNoAimPatience));
   const bool reachable = std::isfinite(best);
-  return Call{reachable, job.acceptedMs + (reachable ? static_cast<std::int64_t>(best * 1000) : 0)};
+  return SloOutlook{reachable, job.acceptedMs + (reachable ? static_cast<std::int64_t>(best * 1000) : 0)};
 }
 
 }  // namespace reachhoist::placement
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -147,7 +147,7 @@
   void sizeFleet();
   fleet::FleetWorld fleetWorld();
   // Services on machines that are cut off, by job.
-  std::vector<placement::Unmet> endangered();
+  std::vector<placement::UnplacedDemand> endangered();
   void rent(const cloud::PoolKey& pool, int count, const char* why);
   std::vector<Machine*> allMachines();
 
@@ -192,7 +192,7 @@
   Time nextSilenceCheck_{};
   Time nextBootCheck_{};
   PartitionDetector cuts_;
-  std::vector<placement::Unmet> unmet_;
+  std::vector<placement::UnplacedDemand> unmet_;
   SharesInRounds shares_;
   std::set<std::string> reserving_;  // gangs of which some places are not in a transaction yet
   bool unfamiliarLogged_ = false;
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -160,7 +160,7 @@
   }
 }
 
-std::vector<placement::Unmet> Leader::endangered() {
+std::vector<placement::UnplacedDemand> Leader::endangered() {
   if (cuts_.selfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasks;
   for (const auto& [host, machine] : machines_.all()) {
@@ -168,10 +168,10 @@
     for (const Attempt& attempt : machine.attempts)
       if (holdsService(attempt)) ++tasks[attempt.task.job.text];
   }
-  std::vector<placement::Unmet> out;
+  std::vector<placement::UnplacedDemand> out;
   for (const auto& [ref, count] : tasks)
     if (const jobs::Job* job = jobs_.find(ref); job != nullptr && job->open())
-      out.push_back(placement::Unmet{job, count});
+      out.push_back(placement::UnplacedDemand{job, count});
   return out;
 }
 
@@ -179,7 +179,7 @@
   fleet::FleetWorld world{
       context_.settings, *context_.catalog, context_.now, context_.wallMs, allMachines(), unmet_, {}, {},
       cuts_.zones(),     endangered(),      boots_};
-  std::erase_if(world.unmet, [](const placement::Unmet& unmet) { return !unmet.job->open(); });
+  std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
   for (const auto& machineType : *context_.catalog) {
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -27,7 +27,7 @@
       for (const Attempt& attempt : machine.attempts)
         if (holdsService(attempt)) room -= attempt.each.vcpus;
   }
-  for (const placement::Unmet& unmet : unmet_)
+  for (const placement::UnplacedDemand& unmet : unmet_)
     if (unmet.job->spec.priority >= wire::Priority::high) room -= unmet.job->spec.each.vcpus * unmet.tasks;
   const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kMoveAtLease);
   const auto unheardFor = wire::seconds(context_.settings.reportS * constants::kGoneReports + 1);
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -60,7 +60,7 @@
   world.machines = allMachines();
   placement::Plan plan = placement::plan(world);
   shares_.planned(plan);
-  unmet_ = std::move(plan.unmet);
+  unmet_ = std::move(plan.unplaced);
   // What waits is looked at again when something has changed, or when time alone may have changed it.
   nextPlan_ = context_.now + (plan.assignments.empty() && plan.stops.empty() ? constants::kIdleRoundGap
                                                                              : constants::kRoundGap);
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -70,15 +70,15 @@
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   world.shares = &*context_.shares;
-  world.mayReclaim = mayReclaim && context_.now >= nextReclaim_;
+  world.mayPreemptForShares = mayReclaim && context_.now >= nextReclaim_;
 }
 
 void SharesInRounds::planned(const placement::Plan& plan) {
   // Looking costs a walk over all machines: what could not be found now is not looked for in every round.
-  if (plan.triedReclaiming) nextReclaim_ = context_.now + constants::kReplanEvery;
-  if (plan.reclaimed == 0) return;
+  if (plan.triedSharePreemption) nextReclaim_ = context_.now + constants::kReplanEvery;
+  if (plan.sharePreemptions == 0) return;
   nextReclaim_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
-  context_.event(Level::info, "reclaim", {{"stops", plan.reclaimed}, {"generation", generation_}});
+  context_.event(Level::info, "reclaim", {{"stops", plan.sharePreemptions}, {"generation", generation_}});
 }
 
 Json SharesInRounds::status(machines::MachineTable& machines, jobs::JobTable& jobs) const {
@@ -90,9 +90,9 @@
   std::vector<const jobs::Job*> open;
   for (const std::string& ref : jobs.open()) open.push_back(jobs.find(ref));
   const shares::Table& table = *context_.shares;
-  const shares::Census census = shares::takeCensus(table, context_.settings, all, open,
-                                                   placement::ranksAboveShares(context_.settings, open));
-  const auto groupShares = shares::divide(census.capacity, census.loads);
+  const shares::UsageSnapshot census = shares::takeUsageSnapshot(
+      table, context_.settings, all, open, placement::ranksAboveShares(context_.settings, open));
+  const auto groupShares = shares::allocateFairShares(census.capacity, census.loads);
   const auto converged = shares::converged(census, groupShares);
   Json groups = Json::array();
   for (std::size_t group = 0; group < groupShares.size(); ++group) {
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -1,3 +1,4 @@
+// Bound on how long placements take to follow a change of the fair-share table, from the settings.
 #include "shares/convergence.hpp"
 
 #include <algorithm>
--- a/src/shares/division.cpp
+++ b/src/shares/fair_share.cpp
@@ -1,4 +1,6 @@
-#include "shares/division.hpp"
+// Weighted max-min fair shares over the dominant resource (dominant resource fairness), by progressive
+// filling.
+#include "shares/fair_share.hpp"
 
 #include <algorithm>
 #include <array>
@@ -114,7 +116,7 @@
   return *std::max_element(parts.begin(), parts.end());
 }
 
-std::vector<GroupShare> divide(const Resources& capacity, const std::vector<GroupLoad>& groups) {
+std::vector<GroupShare> allocateFairShares(const Resources& capacity, const std::vector<GroupLoad>& groups) {
   std::vector<Rising> rising;
   std::vector<GroupShare> out;
   for (const GroupLoad& group : groups) {
--- a/src/shares/division.hpp
+++ b/src/shares/fair_share.hpp
@@ -10,6 +10,7 @@
 
 using wire::Resources;
 
+// What one fair-share group has and asks for, in absolute resources.
 struct GroupLoad {
   double weight = 0;
   Resources running;  // placed, and not on its way out
@@ -32,6 +33,6 @@
 
 // Groups rise together, each by its weight, until their demand is met or a resource that they use is used up.
 // None is held below its fixed part. Groups of weight 0 share what the others leave.
-std::vector<GroupShare> divide(const Resources& capacity, const std::vector<GroupLoad>& groups);
+std::vector<GroupShare> allocateFairShares(const Resources& capacity, const std::vector<GroupLoad>& groups);
 
 }  // namespace reachhoist::shares
--- a/src/shares/group.cpp
+++ b/src/shares/group.cpp
@@ -1,3 +1,4 @@
+// Fair-share groups (a team, a job class, or one class of one team): names, matching and parsing.
 #include "shares/group.hpp"
 
 namespace reachhoist::shares {
--- a/src/shares/ledger.hpp
+++ b/src/shares/share_account.hpp
@@ -1,19 +1,21 @@
-// One round's account of the groups: who may be given more, who may be asked to give, and how much of that
-// this round has used up already.
+// Per-round fair-share accounting of the groups: who may be given more, who may be asked to give, and how
+// much of that this round has used up already.
 #pragma once
 
 #include <set>
 #include <string_view>
 #include <vector>
 
-#include "shares/census.hpp"
+#include "shares/usage.hpp"
 
 namespace reachhoist::shares {
 
-class Ledger {
+// Tracks, within one placement round, which groups may take more and which must give back capacity by
+// preemption, and how much preemption the round has done.
+class ShareAccount {
  public:
   // `step`: the part of the capacity after which a round reclaims no more; exceeded by less than one claim.
-  Ledger(Census census, double step);
+  ShareAccount(UsageSnapshot usage, double step);
 
   // Whether the shares let the job start another task, or its whole gang. Exceeds the entitlement by less
   // than one such unit, so that what has just been placed is never asked back.
@@ -29,7 +31,7 @@
   // What is considered to be given up together, before it is.
   class Trial {
    public:
-    explicit Trial(const Ledger& ledger) : ledger_(ledger) {}
+    explicit Trial(const ShareAccount& account) : shareAccount_(account) {}
     // Whether the attempt (its whole gang) can go too, with its group still at its entitlement or above.
     bool mayGive(const machines::Attempt& attempt) const;
     void give(const machines::Attempt& attempt);
@@ -42,7 +44,7 @@
       bool gang = false;
       Resources unit;
     };
-    const Ledger& ledger_;
+    const ShareAccount& shareAccount_;
     std::vector<Given> given_;
   };
 
@@ -58,7 +60,7 @@
   const JobStanding* governed(std::string_view ref) const;
   Resources unitOf(const machines::Attempt& attempt) const;
 
-  Census census_;
+  UsageSnapshot usage_;
   std::vector<GroupShare> shares_;
   std::vector<Resources> claimed_;  // by group: room that is coming for it
   std::set<std::uint64_t> gangs_;   // attempts of gangs given up
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -1,3 +1,4 @@
+// The operators' table of fair-share groups and weights, and its stored form.
 #include "shares/table.hpp"
 
 #include <algorithm>
--- a/src/shares/census.cpp
+++ b/src/shares/usage.cpp
@@ -1,4 +1,5 @@
-#include "shares/census.hpp"
+// Usage snapshot: what each fair-share group runs and demands over the machines that are up.
+#include "shares/usage.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -68,47 +69,48 @@
   return attempt.stopWanted || attempt.phase == machines::AttemptPhase::saving;
 }
 
-const JobStanding* Census::find(std::string_view ref) const {
+const JobStanding* UsageSnapshot::find(std::string_view ref) const {
   const auto found = jobs.find(ref);
   return found == jobs.end() ? nullptr : &found->second;
 }
 
-Census takeCensus(const Table& table, const config::Settings& settings, const std::vector<Machine*>& machines,
-                  const std::vector<const jobs::Job*>& open, const RanksAbove& ranksAbove) {
-  Census census;
-  census.loads.resize(table.groups());
-  census.units.resize(table.groups());
+UsageSnapshot takeUsageSnapshot(const Table& table, const config::Settings& settings,
+                                const std::vector<Machine*>& machines,
+                                const std::vector<const jobs::Job*>& open, const RanksAbove& ranksAbove) {
+  UsageSnapshot usage;
+  usage.loads.resize(table.groups());
+  usage.units.resize(table.groups());
   for (std::size_t group = 0; group < table.groups(); ++group)
-    census.loads[group].weight = table.weight(group);
+    usage.loads[group].weight = table.weight(group);
   for (const jobs::Job* job : open) {
     JobStanding standing;
     standing.group = table.groupOf(job->spec.team, job->spec.jobClass);
     standing.fixed = ranksAbove(*job);
-    census.jobs[job->spec.ref.text] = standing;
+    usage.jobs[job->spec.ref.text] = standing;
   }
   for (const Machine* machine : machines) {
     if (!isCounted(*machine)) continue;
-    census.capacity += machine->total;
+    usage.capacity += machine->total;
     for (const Attempt& attempt : machine->attempts) {
       if (!attempt.holdsRoom() || isLeaving(attempt)) continue;
-      const auto found = census.jobs.find(attempt.task.job.text);
-      if (found == census.jobs.end()) continue;
+      const auto found = usage.jobs.find(attempt.task.job.text);
+      if (found == usage.jobs.end()) continue;
       ++found->second.placed;
-      census.loads[found->second.group].running += attempt.each;
+      usage.loads[found->second.group].running += attempt.each;
     }
   }
   TeamRoom room(settings, machines);
   for (const jobs::Job* job : open) {
-    JobStanding& standing = census.jobs.at(job->spec.ref.text);
-    GroupLoad& load = census.loads[standing.group];
-    const bool waits = !job->failures.jobAtFault() && isServable(job->spec.each, census.capacity);
+    JobStanding& standing = usage.jobs.at(job->spec.ref.text);
+    GroupLoad& load = usage.loads[standing.group];
+    const bool waits = !job->failures.jobAtFault() && isServable(job->spec.each, usage.capacity);
     const double waiting = waits ? room.take(*job, job->waiting) : 0;
     const Resources asked = times(job->spec.each, standing.placed + waiting);
     load.demand += asked;
     if (standing.placed + waiting > 0) {
       const Resources unit = times(job->spec.each, job->isGang() ? job->spec.taskCount : 1);
-      census.units[standing.group] =
-          std::max(census.units[standing.group], dominantShare(unit, census.capacity));
+      usage.units[standing.group] =
+          std::max(usage.units[standing.group], dominantShare(unit, usage.capacity));
     }
     if (standing.fixed) {
       load.fixed += asked;
@@ -117,19 +119,19 @@
       load.fixed += job->spec.each;
     }
   }
-  return census;
+  return usage;
 }
 
-std::vector<bool> converged(const Census& census, const std::vector<GroupShare>& shares) {
+std::vector<bool> converged(const UsageSnapshot& usage, const std::vector<GroupShare>& shares) {
   constexpr double kEpsilon = 1e-9;  // of a share: rounding of sums
   std::vector<bool> lacks;
   for (std::size_t group = 0; group < shares.size(); ++group)
-    lacks.push_back(shares[group].running < shares[group].entitled - census.units[group] - kEpsilon);
+    lacks.push_back(shares[group].running < shares[group].entitled - usage.units[group] - kEpsilon);
   const bool anyLacks = std::find(lacks.begin(), lacks.end(), true) != lacks.end();
   std::vector<bool> out;
   for (std::size_t group = 0; group < shares.size(); ++group) {
     const GroupShare& share = shares[group];
-    const bool exceeds = share.running > share.entitled + census.units[group] + kEpsilon;
+    const bool exceeds = share.running > share.entitled + usage.units[group] + kEpsilon;
     out.push_back(!lacks[group] && !(exceeds && anyLacks));
   }
   return out;
