--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -66,21 +66,21 @@
 void ShareEdit::onRead(const wire::CallResult& result) {
   if (result.status == 404)
     return finish({EditVerdict::absent, 0, {"table", "is not stored: shares are off"}});
-  const auto stamp = wire::countField(result.body, "stamp");
+  const auto revision = wire::countField(result.body, "stamp");
   const wire::Json* value = wire::field(result.body, "value");
-  if (!result.ok() || !stamp || value == nullptr) return retry();
+  if (!result.ok() || !revision || value == nullptr) return retry();
   shares::Table table;
   if (const auto problem = shares::decode(*value, table)) return finish({EditVerdict::damaged, 0, *problem});
   const auto outcome = shares::apply(change_, settings_, table);
   if (outcome.verdict != shares::ChangeVerdict::changed)
     return finish({verdictOf(outcome.verdict), outcome.generation, outcome.problem});
-  write(table, *stamp);
+  write(table, *revision);
 }
 
-void ShareEdit::write(const shares::Table& table, std::uint64_t stamp) {
+void ShareEdit::write(const shares::Table& table, std::uint64_t revision) {
   to(State::writing);
   state::Transaction transaction;
-  transaction.conditions.push_back({shares::kTableKey, stamp});
+  transaction.conditions.push_back({shares::kTableKey, revision});
   transaction.writes.push_back({shares::kTableKey, shares::encode(table), std::nullopt});
   client_.multi(now_, state::Urgency::rest, transaction,
                 [self = shared_from_this(), generation = table.generation](const wire::CallResult& result) {
--- a/src/admin/share_editor.hpp
+++ b/src/admin/share_editor.hpp
@@ -42,7 +42,7 @@
   void to(State next) { state_ = next; }
   void read();
   void onRead(const wire::CallResult& result);
-  void write(const shares::Table& table, std::uint64_t stamp);
+  void write(const shares::Table& table, std::uint64_t revision);
   void onWritten(const wire::CallResult& result, std::uint64_t generation);
   void retry();
   void finish(const EditResult& result);
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -41,7 +41,7 @@
     auto request = std::make_shared<InstanceRequest>();
     request->name = incarnationName_ + "-" + std::to_string(++counter_);
     request->pool = pool;
-    request->count = std::min(count, constants::kHireAtMost);
+    request->count = std::min(count, constants::kInstanceRequestMax);
     count -= request->count;
     requests_.push_back(request);
   }
@@ -120,7 +120,7 @@
 void Client::sendReleases(Time now) {
   std::vector<std::string> batch;
   for (const std::string& host : releases_) {
-    if (batch.size() == constants::kReturnAtMost) break;
+    if (batch.size() == constants::kReleaseRequestMax) break;
     batch.push_back(host);
   }
   releasing_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -48,7 +48,7 @@
   Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
          Handlers handlers);
 
-  // Scales out by `count` instances of the pool, in requests of at most constants::kHireAtMost.
+  // Scales out by `count` instances of the pool, in requests of at most constants::kInstanceRequestMax.
   void requestInstances(Time now, const PoolKey& pool, std::size_t count);
   // Releases the host (scale-in) at the next tick; retried until the cloud confirms.
   void release(Time now, const std::string& host);
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -22,7 +22,7 @@
              },
              [this] { onCaughtUp(); }}),
       jitter_(seed),
-      parts_(std::max(settings.partsAtFirst, 1U)) {}
+      partitionCount_(std::max(settings.initialPartitions, 1U)) {}
 
 void Leadership::start(Time now) {
   now_ = now;
@@ -52,7 +52,8 @@
   if (layoutRaised() || termRevision_ == 0 || term_ == 0) return std::nullopt;
   return std::pair{
       state::Condition{kTermKey, termRevision_},
-      state::Write{kTermKey, Json{{"term", term_}, {"parts", parts_}, {"layout", constants::kLayoutGangs}},
+      state::Write{kTermKey,
+                   Json{{"term", term_}, {"parts", partitionCount_}, {"layout", constants::kLayoutGangs}},
                    std::nullopt}};
 }
 
@@ -65,7 +66,7 @@
     const auto term = wire::countField(*value, "term").value_or(0);
     if (state_ != State::leading && state_ != State::taking) term_ = std::max(term_, term);
     if (const auto parts = wire::countField(*value, "parts"); parts && *parts > 0)
-      parts_ = static_cast<unsigned>(*parts);
+      partitionCount_ = static_cast<unsigned>(*parts);
     checkLayout(wire::countField(*value, "layout").value_or(1));
   }
 }
@@ -138,11 +139,11 @@
   transaction.conditions = {{kLeaderKey, leaderRevision_}, {kTermKey, termRevision_}};
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
   transaction.writes.push_back(
-      {kTermKey, Json{{"term", term}, {"parts", parts_}, {"layout", layout_}}, std::nullopt});
-  const bool partitionsInElection = parts_ + 2 <= settings_.stateTxnOps;
-  for (Part part = 0; partitionsInElection && part < parts_; ++part)
+      {kTermKey, Json{{"term", term}, {"parts", partitionCount_}, {"layout", layout_}}, std::nullopt});
+  const bool partitionsInElection = partitionCount_ + 2 <= settings_.stateTxnOps;
+  for (PartitionId part = 0; partitionsInElection && part < partitionCount_; ++part)
     transaction.writes.push_back(
-        {partKey(part), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt});
+        {partitionKey(part), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt});
   client_.multi(now_, state::Urgency::lease, transaction,
                 [this, term, sent, partitionsInElection](const auto& result) {
                   if (state_ != State::campaigning) return;
@@ -162,7 +163,7 @@
                   confirmedAt_ = sent;
                   nextRenewAt_ = now_ + constants::kLeaderRenew;
                   client_.setLeading(true);
-                  partitionRevisions_.assign(partitionsInElection ? parts_ : 0, ownRevision_);
+                  partitionRevisions_.assign(partitionsInElection ? partitionCount_ : 0, ownRevision_);
                   to(State::taking);
                   acquirePartitions();
                 });
@@ -171,19 +172,19 @@
 // A deposed owner's writes depend on all parts, so that one taken part already stops it; and each transaction
 // depends on the term's record, so that a late one of an earlier term changes nothing.
 void Leadership::acquirePartitions() {
-  if (partitionRevisions_.size() >= parts_) {
+  if (partitionRevisions_.size() >= partitionCount_) {
     to(State::leading);
     handlers_.elected(term_, partitionRevisions_);
     return;
   }
   acquireInFlight_ = true;
-  const auto from = static_cast<Part>(partitionRevisions_.size());
-  const Part end = std::min<Part>(parts_, from + settings_.stateTxnOps);
+  const auto from = static_cast<PartitionId>(partitionRevisions_.size());
+  const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.stateTxnOps);
   state::Transaction transaction;
   transaction.conditions = {{kTermKey, ownRevision_}};
-  for (Part part = from; part < end; ++part)
+  for (PartitionId part = from; part < end; ++part)
     transaction.writes.push_back(
-        {partKey(part), Json{{"owner", settings_.label}, {"term", term_}}, std::nullopt});
+        {partitionKey(part), Json{{"owner", settings_.label}, {"term", term_}}, std::nullopt});
   client_.multi(now_, state::Urgency::lease, transaction,
                 [this, end, term = term_](const wire::CallResult& result) {
                   acquireInFlight_ = false;
--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <random>
 
-#include "cluster/parts.hpp"
+#include "cluster/partitions.hpp"
 #include "state/feed.hpp"
 
 namespace reachhoist::cluster {
@@ -49,7 +49,7 @@
   // The highest term known of; this controller's own while it leads.
   std::uint64_t term() const { return term_; }
   // Number of partitions of the machines.
-  unsigned parts() const { return parts_; }
+  unsigned parts() const { return partitionCount_; }
   // The leader by the last word of the state service; empty when vacant.
   const std::string& leader() const { return leader_; }
   // What the first record of a kind that earlier versions can't read must be written with: it raises the
@@ -89,7 +89,7 @@
   std::uint64_t termRevision_ = 0;
   std::uint64_t term_ = 0;         // the last one known of
   std::uint64_t ownRevision_ = 0;  // of the leader key as this life wrote it
-  unsigned parts_ = 1;
+  unsigned partitionCount_ = 1;
   std::uint64_t layout_ = constants::kLayout;
   std::vector<std::uint64_t> partitionRevisions_;  // of the parts taken so far
   Time retryAcquireAt_{};
--- a/src/cluster/parts.hpp
+++ b/src/cluster/partitions.hpp
@@ -9,12 +9,12 @@
 namespace reachhoist::cluster {
 
 // Index of a partition, below the partition count.
-using Part = unsigned;
+using PartitionId = unsigned;
 
 // The partition of a machine by its name: a stable hash (FNV-1a) modulo the partition count (> 0).
-Part partOf(std::string_view name, unsigned parts);
+PartitionId partitionOf(std::string_view name, unsigned parts);
 // Stored key of a partition's record {"owner":..,"term":..}.
-std::string partKey(Part part);
+std::string partitionKey(PartitionId part);
 
 // Fencing token of a command: the term in the high bits, and below it a counter by which older commands to
 // one machine are made void.
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -12,15 +12,15 @@
 using std::chrono::seconds;
 
 // --- Protocol -------------------------------------------------------------------------------------------
-inline constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // bytes; the protocol's limit for request bodies
-inline constexpr std::size_t kMaxHeadBytes = 8 * 1024;   // bytes of request line and headers; ours are ~200
-inline constexpr double kClockDrift = 0.0005;            // share; steady clocks drift at most this much
-inline constexpr milliseconds kReportAnswerLimit = 4s;   // a worker drops answers that take longer
-inline constexpr std::size_t kHireAtMost = 50;           // machines a rental request may ask for
-inline constexpr std::size_t kReturnAtMost = 100;        // names a deletion request may hold
-inline constexpr std::size_t kListPage = 500;            // machines a list page may hold
-inline constexpr std::size_t kKeysPage = 1000;           // items a page of keys may hold
-inline constexpr int kTokenTermShift = 20;               // bits; low part counts fences of one machine
+inline constexpr std::size_t kMaxBodyBytes = 64 * 1024;    // bytes; the protocol's limit for request bodies
+inline constexpr std::size_t kMaxHeadBytes = 8 * 1024;     // bytes of request line and headers; ours are ~200
+inline constexpr double kClockDrift = 0.0005;              // share; steady clocks drift at most this much
+inline constexpr milliseconds kHeartbeatAnswerLimit = 4s;  // a worker drops answers that take longer
+inline constexpr std::size_t kInstanceRequestMax = 50;     // machines a rental request may ask for
+inline constexpr std::size_t kReleaseRequestMax = 100;     // names a deletion request may hold
+inline constexpr std::size_t kListPage = 500;              // machines a list page may hold
+inline constexpr std::size_t kKeysPage = 1000;             // items a page of keys may hold
+inline constexpr int kTokenTermShift = 20;                 // bits; low part counts fences of one machine
 
 // --- Leases and safety windows --------------------------------------------------------------------------
 inline constexpr milliseconds kLeaseMargin = 1500ms;   // beyond drift: timer steps, processing, late expiry
@@ -54,7 +54,7 @@
 inline constexpr milliseconds kRelayTimeout = 3s;  // below the 4 s after which a worker moves on
 inline constexpr milliseconds kRelayMemory = 8s;   // a worker back within this could not reach its leader
 inline constexpr milliseconds kRelayFor = 30s;     // then the direct way is tried again
-inline constexpr milliseconds kReturnedMemory =
+inline constexpr milliseconds kReleasedHostMemory =
     10min;  // lists and copies of reports from a gone machine come late
 inline constexpr milliseconds kUnacknowledgedPatience =
     5s;  // beyond the lease, for a machine that hears nothing we send
@@ -91,7 +91,7 @@
     1s;  // a confirming read is made by then even if nobody waits for it
 inline constexpr milliseconds kHeartbeatFresh =
     2500ms;  // a sibling's word is believed this long; it comes each second
-inline constexpr milliseconds kAloneAfter =
+inline constexpr milliseconds kIsolatedAfter =
     4s;  // without the state service, while siblings have it or are silent
 inline constexpr milliseconds kStateBackoff = 250ms;  // after a 429 or 503 on background work
 inline constexpr double kBudgetMargin = 0.92;         // of the stated rate: clocks and windows differ
@@ -109,15 +109,17 @@
 inline constexpr milliseconds kReplanEvery = 1s;    // time alone changes what may be placed: pauses, silence
 inline constexpr std::size_t kTasksPerRound = 400;  // placements of one round, so that rounds stay short
 inline constexpr std::size_t kStopsPerRound = 64;   // attempts stopped to make room in one round
-inline constexpr std::size_t kPagesPerRound = 4;  // pages of placements written by one round: half of 64 KiB
-inline constexpr std::size_t kPageBytes = 7000;   // bytes in JSON form; small pages are cheap to write again
-inline constexpr double kPageFill = 0.85;         // of the value limit, as bytes are estimated
+inline constexpr std::size_t kBatchesPerRound =
+    4;                                            // pages of placements written by one round: half of 64 KiB
+inline constexpr std::size_t kBatchBytes = 7000;  // bytes in JSON form; small pages are cheap to write again
+inline constexpr double kBatchFill = 0.85;        // of the value limit, as bytes are estimated
 inline constexpr milliseconds kCleanEvery = 2s;   // pages with machines that are gone wait at most this long
 inline constexpr milliseconds kProgressGap = 2s;  // between transactions that record progress of arrays
 inline constexpr std::size_t kEndedListedMost =
     40;  // attempts listed in reports before forget commands go directly
-inline constexpr double kEstimateSlack = 0.5;           // of the estimate: users are often wrong by half
-inline constexpr milliseconds kNoAimPatience = 5min;    // start aimed at for jobs for which no aim is stated
+inline constexpr double kEstimateSlack = 0.5;  // of the estimate: users are often wrong by half
+inline constexpr milliseconds kDefaultStartObjective =
+    5min;                                               // start aimed at for jobs for which no aim is stated
 inline constexpr milliseconds kOverlookedAfter = 150s;  // without a start: goes first; the largest have 240 s
 inline constexpr std::uint32_t kOverlookedShare = 8;  // an overlooked job gets this part of its tasks at once
 inline constexpr milliseconds kGangHold = 60s;  // broken-up room is held for a gang this long: two boots
@@ -125,7 +127,7 @@
 inline constexpr double kNoHurryS = 1e9;  // s; a stop that nothing presses: a gang has all the time it needs
 inline constexpr milliseconds kGangRetry = 500ms;    // after an attempt that failed; doubles
 inline constexpr milliseconds kGangRetryMost = 15s;  // longest pause between attempts of a gang
-inline constexpr milliseconds kGangRentalMost =
+inline constexpr milliseconds kGangScaleOutBackoffMax =
     5min;  // longest pause between rentals for a gang that the cloud has too few machines for
 inline constexpr std::uint32_t kDoneChunk = 4096;  // tasks per done key: 1 KiB of hex, below any limit
 
@@ -140,10 +142,10 @@
     300.0;  // the same where a machine can't be told: nothing is saved
 
 // --- Machines -------------------------------------------------------------------------------------------
-inline constexpr double kSilentReports = 3.0;  // missed reports after which a machine gets no new work
-inline constexpr double kProbeReports = 1.25;  // overdue this many reports (and 1 s): it is asked directly
-inline constexpr double kGoneReports = 2.0;    // the same (and 1 s), and it did not answer: it is given up
-inline constexpr double kQuietReports =
+inline constexpr double kSilentHeartbeats = 3.0;  // missed reports after which a machine gets no new work
+inline constexpr double kProbeHeartbeats = 1.25;  // overdue this many reports (and 1 s): it is asked directly
+inline constexpr double kGoneHeartbeats = 2.0;    // the same (and 1 s), and it did not answer: it is given up
+inline constexpr double kQuietHeartbeats =
     1.3;                                  // overdue this many reports (and 0.5 s): counts towards a cut zone
 inline constexpr double kCutShare = 0.5;  // of a zone's machines quiet: it is cut off; fewer have failed
 inline constexpr double kMoveAtLease =
@@ -207,14 +209,16 @@
     4.0;  // of larger pools for as much of the size feature as the first 16 machines
 
 // --- Fleet: extensions ----------------------------------------------------------------------------------
-inline constexpr milliseconds kShortfallEvery = 1s;  // how often waiting work without room is looked for
-inline constexpr milliseconds kRefusedPause = 20s;   // a pool that refused a rental is not asked before
-inline constexpr milliseconds kVacateEvery = 2s;     // a machine is vacated in about one second
-inline constexpr milliseconds kVacateAge = 60s;  // of machine (paid so long anyway) and of the services on it
-inline constexpr std::size_t kVacateDivisor =
-    32;                                     // of a pool: so many leave at once, so that few services move
-inline constexpr double kVacateKeep = 2.0;  // machines' worth of room that stays free: one may be lost
-inline constexpr double kVacateUsed = 0.6;  // more used than this, moving costs more than it saves
+inline constexpr milliseconds kScaleOutEvery = 1s;     // how often waiting work without room is looked for
+inline constexpr milliseconds kRefusedPause = 20s;     // a pool that refused a rental is not asked before
+inline constexpr milliseconds kConsolidateEvery = 2s;  // a machine is vacated in about one second
+inline constexpr milliseconds kConsolidateMinAge =
+    60s;  // of machine (paid so long anyway) and of the services on it
+inline constexpr std::size_t kConsolidateDivisor =
+    32;  // of a pool: so many leave at once, so that few services move
+inline constexpr double kConsolidateSpareMachines =
+    2.0;  // machines' worth of room that stays free: one may be lost
+inline constexpr double kConsolidateMaxUsage = 0.6;  // more used than this, moving costs more than it saves
 inline constexpr double kReserveShare =
     0.09;  // of the CPUs that services and gangs use, free on ordinary machines for the length of a boot
 inline constexpr double kSpareShare = 0.12;  // of the rooms used by prod work, kept free for its next
@@ -224,7 +228,7 @@
 inline constexpr double kShareWeightMost = 1e6;      // ratios beyond this are mistakes
 inline constexpr std::size_t kShareRequestsKept = 8;    // ids of changes that a repeat is told by
 inline constexpr std::size_t kShareRequestIdMost = 40;  // bytes of such an id: a UUID and a little more
-inline constexpr double kReportSpread = 1.25;           // times report_s: the longest that a worker waits
+inline constexpr double kHeartbeatSpread = 1.25;        // times report_s: the longest that a worker waits
 inline constexpr milliseconds kShareStatusEvery = 5s;  // the groups' status is written this often, if changed
 inline constexpr milliseconds kShareWriteRetry = 2s;   // between tries to write the first table
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -190,7 +190,7 @@
     out.objectives.push_back(std::move(objective));
   }
   Reader workers = facts.map("workers");
-  workers.amount("report_s", out.reportS, 0.1);
+  workers.amount("report_s", out.heartbeatIntervalS, 0.1);
   workers.amount("lease_s", out.leaseS, 1);
   workers.amount("cancel_s", out.cancelS, 1);
   workers.maybeAmount("gang_wait_s", out.gangWaitS);
@@ -200,7 +200,7 @@
   state.amount("write_rps", out.stateWriteRps, 1);
   state.amount("value_kb", out.stateValueKb, 2);
   state.count("txn_ops", out.stateTxnOps, 4);
-  out.partsAtFirst = std::min(out.initialSize, std::max(out.stateTxnOps, 3U) - 2);
+  out.initialPartitions = std::min(out.initialSize, std::max(out.stateTxnOps, 3U) - 2);
   // Announced limits come without notice: they are kept from the start.
   if (const Json* next = state.maybeMap("next"); next != nullptr) {
     Reader lower = state.map("next");
@@ -218,7 +218,8 @@
   limits.count("max_connections", out.maxConnections, constants::kSocketsLeast);
   facts.amount("clock_off_ms", out.clockOffMs, 0);
   // Without this no answer to a worker could be safe: see docs/safety.md, point 7.
-  if (!problem && out.answerWindow() < std::chrono::milliseconds(static_cast<long>(out.reportS * 1000)))
+  if (!problem &&
+      out.answerWindow() < std::chrono::milliseconds(static_cast<long>(out.heartbeatIntervalS * 1000)))
     facts.complain("workers.cancel_s",
                    "leaves no time to renew leases: it must exceed lease_s by report_s and margins");
   return problem;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -74,7 +74,7 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double reportS = 3;
+  double heartbeatIntervalS = 3;
   double leaseS = 22;
   double cancelS = 42;
   double stateRps = 60;
@@ -83,7 +83,7 @@
   unsigned stateTxnOps = 12;
   // The parts of a first start. From the present limits, also where lower ones are announced: the number is
   // kept for ever, and every version must come to the same.
-  unsigned partsAtFirst = 1;
+  unsigned initialPartitions = 1;
   double gangWaitS = 45;  // a gang's task waits this long for the others
   double gangPeerS = 4;   // in which a gang's tasks must all be told to stop
   double cloudRps = 4;
--- a/src/fleet/boot_times.cpp
+++ b/src/fleet/boot_times.cpp
@@ -69,7 +69,7 @@
   for (const Machine* machine : machines)
     if (machine->phase == MachinePhase::booting || machine->phase == MachinePhase::up)
       launches_[{machine->machineType, machine->zone}].push_back(
-          Launch{machine->rentedAt, machine->phase == MachinePhase::up});
+          Launch{machine->provisionedAt, machine->phase == MachinePhase::up});
 }
 
 bool BootCohorts::lagsCohort(const Machine& machine) const {
@@ -78,7 +78,7 @@
   std::size_t up = 0;
   std::size_t booting = 0;
   for (const Launch& other : found->second) {
-    const auto apart = other.requestedAt - machine.rentedAt;
+    const auto apart = other.requestedAt - machine.provisionedAt;
     if (apart < -constants::kBootCohort || apart > constants::kBootCohort) continue;
     ++(other.up ? up : booting);
   }
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -17,7 +17,7 @@
 }
 
 bool acceptsWork(const Machine& machine) {
-  return machine.phase == MachinePhase::up && machine.echoed && !machine.spotNoticeAt;
+  return machine.phase == MachinePhase::up && machine.tokenAcknowledged && !machine.spotNoticeAt;
 }
 
 std::vector<PoolOffer> offeredPools(const std::vector<wire::MachineType>& catalog) {
@@ -47,7 +47,7 @@
   if (machine.phase != MachinePhase::booting) return false;
   const auto expected = world.bootTimes.expectedBootTime(machine.machineType, machine.zone,
                                                          catalogBootSeconds(world, machine), world.now);
-  return world.now - machine.rentedAt > expected && cohorts.lagsCohort(machine);
+  return world.now - machine.provisionedAt > expected && cohorts.lagsCohort(machine);
 }
 
 std::vector<PendingInstance> pendingInstances(const FleetWorld& world) {
@@ -57,14 +57,14 @@
     if (machine->phase == MachinePhase::booting) {
       if (!isStraggler(world, cohorts, *machine))
         out.push_back(PendingInstance{poolOf(*machine), machine->total});
-    } else if (machine->phase == MachinePhase::up && !machine->echoed && !machine->spotNoticeAt) {
-      out.push_back(PendingInstance{poolOf(*machine), machine->room()});
+    } else if (machine->phase == MachinePhase::up && !machine->tokenAcknowledged && !machine->spotNoticeAt) {
+      out.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
     }
   }
   for (const auto& [key, machineType] : offeredPools(world.catalog)) {
     const auto found = world.pending.find(key);
     for (std::size_t i = 0; found != world.pending.end() && i < found->second; ++i)
-      out.push_back(PendingInstance{key, machineType->room});
+      out.push_back(PendingInstance{key, machineType->capacity});
   }
   return out;
 }
@@ -93,7 +93,7 @@
 }
 
 bool inScaleOutBackoff(const FleetWorld& world, const placement::UnplacedDemand& unmet) {
-  return unmet.job->gang.nextRental > world.now;
+  return unmet.job->gang.nextScaleOut > world.now;
 }
 
 std::vector<QueuedWork> queuedWork(const FleetWorld& world,
@@ -110,7 +110,7 @@
   for (const Machine* machine : world.machines) {
     if (!withPartitioned && isPartitioned(world, *machine)) continue;
     for (const machines::Attempt& attempt : machine->attempts) {
-      if (!attempt.holdsRoom()) continue;
+      if (!attempt.holdsCapacity()) continue;
       const auto found = zoned.find(attempt.task.job.text);
       if (found != zoned.end()) ++(*found->second)[machine->zone];
     }
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -48,7 +48,7 @@
       }
     }
     CpuUsage& usage = cpus[found->first];
-    usage.used += machine->total.vcpus - machine->room().vcpus;
+    usage.used += machine->total.vcpus - machine->freeCapacity().vcpus;
     usage.total += machine->total.vcpus;
   }
   return cpus;
--- a/src/fleet/pools.hpp
+++ b/src/fleet/pools.hpp
@@ -50,7 +50,7 @@
   std::map<PoolKey, std::size_t> pending;  // instances requested, no answer yet
   std::set<std::string> cut;               // zones that seem partitioned away
   std::vector<placement::UnplacedDemand>
-      endangered;  // services on machines there, whose leases are running out
+      servicesAtRisk;  // services on machines there, whose leases are running out
   BootHistory bootTimes{};
 };
 
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -29,7 +29,7 @@
 void addMachine(const Machine& machine, OnDemandCapacity& capacity) {
   double held = 0;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.holdsRoom() && holdsReserve(attempt)) held += attempt.each.vcpus;
+    if (attempt.holdsCapacity() && holdsReserve(attempt)) held += attempt.each.vcpus;
   const double free = std::max(0.0, machine.total.vcpus - held);
   capacity.used += held;
   capacity.free += free;
@@ -59,12 +59,12 @@
   for (const PoolOffer& pool : pools) {
     const auto& [key, machineType] = pool;
     if (key.spot || world.refused.contains(key) || world.cut.contains(key.zone) ||
-        machineType->room.vcpus <= 0)
+        machineType->capacity.vcpus <= 0)
       continue;
     // Price of a vCPU; the zone with the least free capacity breaks ties.
-    const double cost = machineType->rate / machineType->room.vcpus *
+    const double cost = machineType->rate / machineType->capacity.vcpus *
                         world.bootTimes.costFactor(key.machineType, key.zone, world.now) *
-                        (1 + 0.001 * capacity.freeByZone[key.zone] / machineType->room.vcpus);
+                        (1 + 0.001 * capacity.freeByZone[key.zone] / machineType->capacity.vcpus);
     if (cost >= bestCost) continue;
     bestCost = cost;
     best = &pool;
@@ -82,10 +82,10 @@
   while (wanted > capacity.free) {
     const PoolOffer* best = cheapestPool(world, pools, capacity);
     // Less than a whole machine's worth is not worth one: small deployments would pay a machine for a task.
-    if (best == nullptr || wanted - capacity.free < best->machineType->room.vcpus) break;
+    if (best == nullptr || wanted - capacity.free < best->machineType->capacity.vcpus) break;
     ++counts[best->key];
-    capacity.free += best->machineType->room.vcpus;
-    capacity.freeByZone[best->key.zone] += best->machineType->room.vcpus;
+    capacity.free += best->machineType->capacity.vcpus;
+    capacity.freeByZone[best->key.zone] += best->machineType->capacity.vcpus;
   }
   std::vector<ScaleOutRequest> out;
   for (const auto& [key, count] : counts) out.push_back(ScaleOutRequest{key, count, {}});
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -14,7 +14,7 @@
 double productionCpus(const Machine& machine) {
   double cpus = 0;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.holdsRoom() && attempt.priority == wire::Priority::prod) cpus += attempt.each.vcpus;
+    if (attempt.holdsCapacity() && attempt.priority == wire::Priority::prod) cpus += attempt.each.vcpus;
   return cpus;
 }
 
@@ -40,7 +40,7 @@
     if (machine->phase == MachinePhase::draining) ++pool.draining;
     if (!acceptsWork(*machine)) continue;
     pool.up.push_back(machine);
-    pool.freeCpus += std::max(0.0, machine->room().vcpus);
+    pool.freeCpus += std::max(0.0, machine->freeCapacity().vcpus);
     pool.productionCpus += productionCpus(*machine);
   }
   return pools;
@@ -49,7 +49,7 @@
 // Whether another machine of the pool has the attempt's image and the free capacity for it.
 bool fitsElsewhere(const machines::Attempt& attempt, const Machine& machine, const ConsolidationPool& pool) {
   return std::any_of(pool.up.begin(), pool.up.end(), [&](const Machine* other) {
-    return other != &machine && other->has(attempt.image) && attempt.each.fitsIn(other->room());
+    return other != &machine && other->has(attempt.image) && attempt.each.fitsIn(other->freeCapacity());
   });
 }
 
@@ -57,13 +57,13 @@
 // end.
 bool isMovable(const FleetWorld& world, const Machine& machine, const ConsolidationPool& pool) {
   // An empty one is for the idle scale-in.
-  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kVacateAge)
+  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kConsolidateMinAge)
     return false;
   for (const machines::Attempt& attempt : machine.attempts) {
     if (attempt.phase == AttemptPhase::ended) continue;
     if (attempt.phase != AttemptPhase::running || attempt.stopWanted) return false;
     if (!attempt.isService) continue;
-    if (world.now - attempt.runningSince < constants::kVacateAge) return false;
+    if (world.now - attempt.runningSince < constants::kConsolidateMinAge) return false;
     if (!fitsElsewhere(attempt, machine, pool)) return false;
   }
   return true;
@@ -71,17 +71,19 @@
 
 // Picks the pool's machines to consolidate, least used first, and appends them to `out`.
 void consolidate(const FleetWorld& world, ConsolidationPool& pool, std::vector<Machine*>& out) {
-  const std::size_t most = 1 + pool.up.size() / constants::kVacateDivisor;
+  const std::size_t most = 1 + pool.up.size() / constants::kConsolidateDivisor;
   const double headroomCpus = pool.productionCpus * world.settings.operators.spareShare;
-  std::sort(pool.up.begin(), pool.up.end(),
-            [](const Machine* a, const Machine* b) { return a->room().vcpus > b->room().vcpus; });
+  std::sort(pool.up.begin(), pool.up.end(), [](const Machine* a, const Machine* b) {
+    return a->freeCapacity().vcpus > b->freeCapacity().vcpus;
+  });
   for (Machine* machine : pool.up) {
     if (pool.draining >= most) break;
     // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
     // loss of one uses up nothing that the next services need.
-    const double used = machine->total.vcpus - machine->room().vcpus;
-    if (used > machine->total.vcpus * constants::kVacateUsed) break;
-    if (pool.freeCpus - machine->total.vcpus < headroomCpus + constants::kVacateKeep * machine->total.vcpus)
+    const double used = machine->total.vcpus - machine->freeCapacity().vcpus;
+    if (used > machine->total.vcpus * constants::kConsolidateMaxUsage) break;
+    if (pool.freeCpus - machine->total.vcpus <
+        headroomCpus + constants::kConsolidateSpareMachines * machine->total.vcpus)
       break;
     if (!isMovable(world, *machine, pool)) continue;
     pool.freeCpus -= machine->total.vcpus;
@@ -97,7 +99,7 @@
   for (const Machine* machine : world.machines) {
     if (machine->phase != MachinePhase::up) continue;
     production += productionCpus(*machine);
-    if (!machine->spot) freeCpus_ += std::max(0.0, machine->room().vcpus);
+    if (!machine->spot) freeCpus_ += std::max(0.0, machine->freeCapacity().vcpus);
   }
   wantedCpus_ = production * world.settings.operators.spareShare;
 }
--- a/src/fleet/unmet_work.cpp
+++ b/src/fleet/unmet_work.cpp
@@ -42,11 +42,11 @@
 // Services that end with their leases, as far as neither free capacity nor pending instances will take them.
 std::vector<QueuedWork> uncoveredServices(const FleetWorld& world, std::vector<PendingInstance> capacity) {
   std::vector<QueuedWork> out;
-  if (world.endangered.empty()) return out;
+  if (world.servicesAtRisk.empty()) return out;
   for (const Machine* machine : world.machines)
     if (acceptsWork(*machine) && !isPartitioned(world, *machine))
-      capacity.push_back(PendingInstance{poolOf(*machine), machine->room()});
-  for (QueuedWork& queued : queuedWork(world, world.endangered, false))
+      capacity.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
+  for (QueuedWork& queued : queuedWork(world, world.servicesAtRisk, false))
     if (!packIntoAny(queued, capacity)) out.push_back(std::move(queued));
   return out;
 }
@@ -96,7 +96,7 @@
       if (pool == nullptr) return;
       ++state_.counts[pool->key];
       ++state_.poolSizes[pool->key];
-      state_.pending.push_back(PendingInstance{pool->key, pool->machineType->room});
+      state_.pending.push_back(PendingInstance{pool->key, pool->machineType->capacity});
       packInto(queued, state_.pending.back());
     }
   }
@@ -142,7 +142,7 @@
     double bestCost = std::numeric_limits<double>::max();
     for (const PoolOffer& pool : pools_) {
       if (!mayUse(queued, pool)) continue;
-      const int fit = tasksThatFit(queued.unmet.job->spec.each, pool.machineType->room);
+      const int fit = tasksThatFit(queued.unmet.job->spec.each, pool.machineType->capacity);
       if (fit < 1) continue;
       const double cost = taskCost(queued, pool, fit);
       if (cost >= bestCost) continue;
--- a/src/jobs/failures.hpp
+++ b/src/jobs/failures.hpp
@@ -30,7 +30,7 @@
   // The longest that a task ran before it failed: one that has run for longer elsewhere does well.
   Duration longestRun() const { return longestRun_; }
   // No task may be started before.
-  Time heldUntil() const { return heldUntil_; }
+  Time backoffUntil() const { return heldUntil_; }
 
  private:
   std::set<std::string> hosts_;
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -47,12 +47,12 @@
   return "waiting";
 }
 
-void Gang::rentalFellShort(Time now) {
-  ++shortRentals;
+void Gang::scaleOutFellShort(Time now) {
+  ++partialScaleOuts;
   // Another pool may have what the first one lacked.
-  if (shortRentals == 1) return;
-  const auto pause = constants::kRefusedPause * (1 << std::min(shortRentals - 2, 6));
-  nextRental = now + std::min<std::chrono::milliseconds>(pause, constants::kGangRentalMost);
+  if (partialScaleOuts == 1) return;
+  const auto pause = constants::kRefusedPause * (1 << std::min(partialScaleOuts - 2, 6));
+  nextScaleOut = now + std::min<std::chrono::milliseconds>(pause, constants::kGangScaleOutBackoffMax);
 }
 
 std::string jobKey(const std::string& ref) { return "jobs/" + ref; }
@@ -60,10 +60,10 @@
   return "done/" + ref + "/" + std::to_string(chunk);
 }
 
-wire::Stage Job::shownStage() const {
+wire::Stage Job::displayedStage() const {
   if (phase == JobPhase::done) return wire::Stage::done;
   if (phase == JobPhase::cancelled) return wire::Stage::cancelled;
-  return (tasks.empty() ? shownRunning : running) > 0 ? wire::Stage::running : wire::Stage::pending;
+  return (tasks.empty() ? displayedRunning : running) > 0 ? wire::Stage::running : wire::Stage::pending;
 }
 
 void Job::to(std::uint32_t index, TaskPhase next, Time now) {
@@ -83,25 +83,25 @@
   while (firstWaiting < spec.taskCount && tasks[firstWaiting] != TaskPhase::waiting) ++firstWaiting;
 }
 
-void Job::beginOwning(Time now) {
+void Job::beginTracking(Time now) {
   tasks.assign(spec.taskCount, TaskPhase::waiting);
   waiting = spec.taskCount;
   placed = running = completed = firstWaiting = 0;
-  doneStamps.clear();
+  doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
-  heldUntil = Time{};
+  backoffUntil = Time{};
   gang = Gang{};
   waitingSince = lastPlaced = now;
 }
 
-void Job::endOwning() {
-  shownDone = completed;
-  shownRunning = running;
+void Job::endTracking() {
+  displayedDone = completed;
+  displayedRunning = running;
   tasks.clear();
   tasks.shrink_to_fit();
   waiting = placed = running = completed = firstWaiting = 0;
-  doneStamps.clear();
+  doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
 }
@@ -119,7 +119,7 @@
   return hex;
 }
 
-bool Job::loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t stamp, Time now) {
+bool Job::loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now) {
   const std::uint32_t begin = chunk * constants::kDoneChunk;
   if (chunk > spec.taskCount / constants::kDoneChunk || hex.size() > constants::kDoneChunk / 4) return false;
   for (std::size_t i = 0; i < hex.size(); ++i) {
@@ -131,7 +131,7 @@
         to(index, TaskPhase::completed, now);
     }
   }
-  doneStamps[chunk] = stamp;
+  doneRevisions[chunk] = revision;
   return true;
 }
 
@@ -156,9 +156,9 @@
               {"memoryGb", job.spec.each.memoryGb}};
 }
 
-JobTable::Change JobTable::apply(const std::string& ref, const Json& value, std::uint64_t stamp) {
+JobTable::Change JobTable::apply(const std::string& ref, const Json& value, std::uint64_t revision) {
   Job* known = find(ref);
-  if (known != nullptr && known->stamp >= stamp) return Change::none;
+  if (known != nullptr && known->revision >= revision) return Change::none;
   const auto phase = wire::textField(value, "phase");
   if (!phase || !wire::validJobRef(ref)) return Change::malformed;
   if (*phase == name(JobPhase::accepted)) {
@@ -169,7 +169,7 @@
     if (known != nullptr && !known->open()) return Change::malformed;
     Job& job = jobs_[ref];
     const bool fresh = known == nullptr;
-    job.stamp = stamp;
+    job.revision = revision;
     job.acceptedMs = wire::field(value, "atMs") != nullptr && value["atMs"].is_number()
                          ? value["atMs"].get<std::int64_t>()
                          : 0;
@@ -185,10 +185,10 @@
   }
   Job& job = jobs_[ref];
   if (known != nullptr && !known->open()) {
-    job.stamp = stamp;
+    job.revision = revision;
     return known->phase == next ? Change::none : Change::malformed;
   }
-  job.stamp = stamp;
+  job.revision = revision;
   job.phase = next;
   wire::JobSpec rest;
   rest.ref.text = ref;
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -31,11 +31,11 @@
   GangState phase = GangState::waiting;
   std::uint64_t number = 0;  // of the attempt, the same for all its tasks
   int failures = 0;          // in a row
-  int shortRentals = 0;      // rentals in a row that did not get all the machines it needs
-  Time nextRental{};         // no machines are rented for it before
+  int partialScaleOuts = 0;  // rentals in a row that did not get all the machines it needs
+  Time nextScaleOut{};       // no machines are rented for it before
 
   // The cloud gave fewer machines than were asked for.
-  void rentalFellShort(Time now);
+  void scaleOutFellShort(Time now);
 
   // The one function that changes a gang's state.
   void to(GangState next) { phase = next; }
@@ -46,12 +46,12 @@
 struct Job {
   wire::JobSpec spec;  // when final: only ref, loads, team and size
   JobPhase phase = JobPhase::accepted;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   std::int64_t acceptedMs = 0;  // time of day of the first acceptance
 
   // For display where this controller doesn't own the job.
-  std::uint32_t shownDone = 0;
-  std::uint32_t shownRunning = 0;
+  std::uint32_t displayedDone = 0;
+  std::uint32_t displayedRunning = 0;
 
   // The leader's view.
   std::vector<TaskPhase> tasks;
@@ -59,11 +59,11 @@
   std::uint32_t placed = 0;
   std::uint32_t running = 0;
   std::uint32_t completed = 0;
-  std::uint32_t firstWaiting = 0;                     // no task below this one is waiting
-  std::map<std::uint32_t, std::uint64_t> doneStamps;  // chunk -> stamp of its key
-  std::set<std::uint32_t> dirtyChunks;                // completions not durable yet
+  std::uint32_t firstWaiting = 0;                        // no task below this one is waiting
+  std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> stamp of its key
+  std::set<std::uint32_t> dirtyChunks;                   // completions not durable yet
   FailureAttribution failures;
-  Time heldUntil{};  // a gang whose attempt failed is not tried again before
+  Time backoffUntil{};  // a gang whose attempt failed is not tried again before
   Time waitingSince{};
   Time lastPlaced{};  // or begun to be owned
   Gang gang;
@@ -71,13 +71,13 @@
   bool open() const { return phase == JobPhase::accepted; }
   bool isGang() const { return spec.kind == wire::JobKind::gang; }
   bool finished() const { return spec.kind != wire::JobKind::service && completed == spec.taskCount; }
-  wire::Stage shownStage() const;
+  wire::Stage displayedStage() const;
   // The one function that changes a task's phase.
   void to(std::uint32_t index, TaskPhase next, Time now);
-  void beginOwning(Time now);
-  void endOwning();
+  void beginTracking(Time now);
+  void endTracking();
   std::string doneChunk(std::uint32_t chunk) const;
-  bool loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t stamp, Time now);
+  bool loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now);
   std::int64_t dueMs() const;  // time of day; the largest value when there is none
 };
 
@@ -94,7 +94,7 @@
  public:
   enum class Change { none, accepted, ended, malformed };
   // Takes a key of the state service; older stamps than the one known change nothing.
-  Change apply(const std::string& ref, const Json& value, std::uint64_t stamp);
+  Change apply(const std::string& ref, const Json& value, std::uint64_t revision);
   Job* find(const std::string& ref);
   const std::set<std::string>& open() const { return open_; }
   std::size_t size() const { return jobs_.size(); }
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -4,44 +4,6 @@
 
 namespace reachhoist::machines {
 
-std::string_view name(AttemptPhase phase) {
-  switch (phase) {
-    case AttemptPhase::planned:
-      return "planned";
-    case AttemptPhase::recorded:
-      return "recorded";
-    case AttemptPhase::pulling:
-      return "pulling";
-    case AttemptPhase::running:
-      return "running";
-    case AttemptPhase::saving:
-      return "saving";
-    case AttemptPhase::ended:
-      return "ended";
-    case AttemptPhase::free:
-      return "free";
-  }
-  return "free";
-}
-
-std::string_view name(MachinePhase phase) {
-  switch (phase) {
-    case MachinePhase::booting:
-      return "booting";
-    case MachinePhase::up:
-      return "up";
-    case MachinePhase::draining:
-      return "draining";
-    case MachinePhase::retiring:
-      return "retiring";
-    case MachinePhase::returning:
-      return "returning";
-    case MachinePhase::gone:
-      return "gone";
-  }
-  return "gone";
-}
-
 void Attempt::to(AttemptPhase next, Time now) {
   if (phase == next) return;
   if (next == AttemptPhase::running && runningSince == Time{}) runningSince = now;
@@ -58,21 +20,21 @@
   phase = next;
 }
 
-wire::Resources Machine::room() const {
-  wire::Resources room = total;
+wire::Resources Machine::freeCapacity() const {
+  wire::Resources capacity = total;
   for (const Attempt& attempt : attempts)
-    if (attempt.holdsRoom()) room -= attempt.each;
-  return room;
+    if (attempt.holdsCapacity()) capacity -= attempt.each;
+  return capacity;
 }
 
 void Machine::clearErrors() {
-  errorsInRow = 0;
-  errorJobs.clear();
+  consecutiveErrors = 0;
+  failedJobs.clear();
   suspectUntil = {};
 }
 
 bool Machine::empty() const {
-  return std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.holdsRoom(); });
+  return std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.holdsCapacity(); });
 }
 
 Attempt* Machine::find(const wire::TaskId& task, std::uint64_t number) {
@@ -83,7 +45,7 @@
 
 bool Machine::fetching(const std::string& image) const {
   return std::any_of(attempts.begin(), attempts.end(),
-                     [&](const Attempt& a) { return a.holdsRoom() && a.image == image; });
+                     [&](const Attempt& a) { return a.holdsCapacity() && a.image == image; });
 }
 
 void Machine::noteImage(const std::string& image, double sizeGb) {
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -26,48 +26,48 @@
     if (!entry.is_array() || entry.size() != 4 || !entry[0].is_string() || !entry[1].is_string() ||
         !entry[2].is_boolean() || !entry[3].is_array() || entry[3].size() % 2 != 0)
       return std::nullopt;
-    BatchedHost paged{
+    BatchedHost record{
         host, entry[0].get<std::string>(), entry[1].get<std::string>(), entry[2].get<bool>(), {}};
     const Json& list = entry[3];
     for (std::size_t i = 0; i < list.size(); i += 2) {
       const auto task = list[i].is_string() ? wire::parseTaskId(list[i].get<std::string>()) : std::nullopt;
       if (!task || !list[i + 1].is_number_unsigned()) return std::nullopt;
-      paged.placed.emplace_back(*task, list[i + 1].get<std::uint64_t>());
+      record.placed.emplace_back(*task, list[i + 1].get<std::uint64_t>());
     }
-    out.push_back(std::move(paged));
+    out.push_back(std::move(record));
   }
   return out;
 }
 
-std::uint64_t PlacementBatchTable::stamp(std::uint32_t number) const {
-  const auto found = pages_.find(number);
-  return found == pages_.end() ? 0 : found->second.stamp;
+std::uint64_t PlacementBatchTable::revision(std::uint32_t number) const {
+  const auto found = batches_.find(number);
+  return found == batches_.end() ? 0 : found->second.revision;
 }
 
-void PlacementBatchTable::loaded(std::uint32_t number, std::uint64_t stamp, std::set<std::string> hosts) {
-  PlacementBatch& page = pages_[number];
-  page.stamp = stamp;
+void PlacementBatchTable::loaded(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts) {
+  PlacementBatch& page = batches_[number];
+  page.revision = revision;
   page.hosts = std::move(hosts);
 }
 
 std::vector<std::uint32_t> PlacementBatchTable::naming(const std::string& host) const {
   std::vector<std::uint32_t> out;
-  for (const auto& [number, page] : pages_)
+  for (const auto& [number, page] : batches_)
     if (page.hosts.contains(host)) out.push_back(number);
   return out;
 }
 
-void PlacementBatchTable::weigh(const MachineTable& machines) {
-  for (auto& [number, page] : pages_) page.bytes = kPageFrame;
+void PlacementBatchTable::recountBytes(const MachineTable& machines) {
+  for (auto& [number, page] : batches_) page.bytes = kPageFrame;
   std::vector<std::uint32_t> seen;
   for (const auto& [host, machine] : machines.all()) {
     seen.clear();
     for (const Attempt& attempt : machine.attempts) {
-      if (!attempt.paged) continue;
-      PlacementBatch& page = pages_[*attempt.paged];
+      if (!attempt.batch) continue;
+      PlacementBatch& page = batches_[*attempt.batch];
       page.bytes += attemptBytes(attempt);
-      if (std::find(seen.begin(), seen.end(), *attempt.paged) != seen.end()) continue;
-      seen.push_back(*attempt.paged);
+      if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
+      seen.push_back(*attempt.batch);
       page.bytes += hostBytes(machine);
     }
   }
@@ -79,45 +79,45 @@
   // Its machine may stand in the page already; counted again, the page errs on the small side.
   const std::size_t bytes = attemptBytes(attempt) + hostBytes(machine);
   const auto take = [&](std::uint32_t number) {
-    pages_[number].bytes += bytes;
+    batches_[number].bytes += bytes;
     round.insert(number);
     return number;
   };
   for (const std::uint32_t number : round)
-    if (pages_[number].bytes + bytes <= valueSizeLimit_) return take(number);
+    if (batches_[number].bytes + bytes <= valueSizeLimit_) return take(number);
   if (round.size() >= pagesMost) return std::nullopt;
   // The emptiest page, if it is half empty: fuller ones would be written again for little.
   std::optional<std::uint32_t> best;
-  for (const auto& [number, page] : pages_) {
+  for (const auto& [number, page] : batches_) {
     if (round.contains(number) || page.bytes > valueSizeLimit_ / 2) continue;
-    if (!best || page.bytes < pages_[*best].bytes) best = number;
+    if (!best || page.bytes < batches_[*best].bytes) best = number;
   }
   if (best) return take(*best);
-  const std::uint32_t fresh = pages_.empty() ? 0 : pages_.rbegin()->first + 1;
-  pages_[fresh].bytes = kPageFrame;
+  const std::uint32_t fresh = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
+  batches_[fresh].bytes = kPageFrame;
   return take(fresh);
 }
 
 bool PlacementBatchTable::shrink(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& round,
                                  std::size_t pagesMost) {
-  if (pages_[number].bytes <= valueSizeLimit_) return round.size() < pagesMost;
+  if (batches_[number].bytes <= valueSizeLimit_) return round.size() < pagesMost;
   for (auto& [host, machine] : machines.all()) {
     std::size_t left = 0;
     std::size_t moved = 0;
     for (Attempt& attempt : machine.attempts) {
-      if (attempt.paged != number) continue;
+      if (attempt.batch != number) continue;
       ++left;
       // Its own place in the round is kept free.
-      if (pages_[number].bytes <= valueSizeLimit_) continue;
+      if (batches_[number].bytes <= valueSizeLimit_) continue;
       const auto other = place(machine, attempt, round, pagesMost - 1);
       if (!other) return false;
-      attempt.paged = other;
-      pages_[number].bytes -= attemptBytes(attempt);
+      attempt.batch = other;
+      batches_[number].bytes -= attemptBytes(attempt);
       ++moved;
     }
-    if (moved > 0 && moved == left) pages_[number].bytes -= hostBytes(machine);
+    if (moved > 0 && moved == left) batches_[number].bytes -= hostBytes(machine);
   }
-  return pages_[number].bytes <= valueSizeLimit_ && round.size() < pagesMost;
+  return batches_[number].bytes <= valueSizeLimit_ && round.size() < pagesMost;
 }
 
 std::map<std::uint32_t, Json> PlacementBatchTable::encode(const MachineTable& machines,
@@ -126,8 +126,8 @@
   for (const std::uint32_t number : numbers) out[number] = Json{{"hosts", Json::object()}};
   for (const auto& [host, machine] : machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
-      if (!attempt.paged || attempt.phase == AttemptPhase::free) continue;
-      const auto page = out.find(*attempt.paged);
+      if (!attempt.batch || attempt.phase == AttemptPhase::free) continue;
+      const auto page = out.find(*attempt.batch);
       if (page == out.end()) continue;
       Json& entry = page->second["hosts"][host];
       if (entry.is_null())
--- a/src/machines/placement_batches.hpp
+++ b/src/machines/placement_batches.hpp
@@ -14,7 +14,7 @@
 
 // What the leader knows of one stored batch.
 struct PlacementBatch {
-  std::uint64_t stamp = 0;      // 0: not written yet
+  std::uint64_t revision = 0;   // 0: not written yet
   std::size_t bytes = 0;        // what is still held in it, counted in JSON form
   std::set<std::string> hosts;  // machines that its last written value names
 };
@@ -36,18 +36,18 @@
  public:
   explicit PlacementBatchTable(std::size_t valueBytes) : valueSizeLimit_(valueBytes) {}
 
-  void clear() { pages_.clear(); }
-  void loaded(std::uint32_t number, std::uint64_t stamp, std::set<std::string> hosts);
-  std::uint64_t stamp(std::uint32_t number) const;
-  void written(std::uint32_t number, std::uint64_t stamp, std::set<std::string> hosts) {
-    loaded(number, stamp, std::move(hosts));
+  void clear() { batches_.clear(); }
+  void loaded(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts);
+  std::uint64_t revision(std::uint32_t number) const;
+  void written(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts) {
+    loaded(number, revision, std::move(hosts));
   }
   // Pages that name the machine.
   std::vector<std::uint32_t> naming(const std::string& host) const;
-  std::size_t size() const { return pages_.size(); }
+  std::size_t size() const { return batches_.size(); }
 
   // Counts anew what each page still holds.
-  void weigh(const MachineTable& machines);
+  void recountBytes(const MachineTable& machines);
   // Finds room for an attempt: on a page of this round, on another half empty one, or on a new one. Nothing
   // when the round's pages are full.
   std::optional<std::uint32_t> place(const Machine& machine, const Attempt& attempt,
@@ -62,7 +62,7 @@
                                        const std::set<std::uint32_t>& numbers) const;
 
  private:
-  std::map<std::uint32_t, PlacementBatch> pages_;
+  std::map<std::uint32_t, PlacementBatch> batches_;
   std::size_t valueSizeLimit_;
 };
 
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -56,7 +56,7 @@
   if (const auto* relay = std::get_if<Relay>(&message.what)) {
     auto out = root.initRelay();
     out.setNumber(relay->number);
-    out.setReport(data(relay->report));
+    out.setReport(data(relay->heartbeat));
   } else if (const auto* relayed = std::get_if<Relayed>(&message.what)) {
     auto out = root.initRelayed();
     out.setNumber(relayed->number);
--- a/src/peer/codec.hpp
+++ b/src/peer/codec.hpp
@@ -11,7 +11,7 @@
 
 struct Relay {
   std::uint64_t number = 0;
-  std::string report;
+  std::string heartbeat;
 };
 struct Relayed {
   std::uint64_t number = 0;
--- a/src/placement/gangs.cpp
+++ b/src/placement/gangs.cpp
@@ -8,13 +8,13 @@
 namespace reachhoist::placement {
 
 bool Round::isReachable(const Machine& machine) const {
-  const auto overdue = wire::seconds(world_.settings.reportS * constants::kQuietReports + 0.5);
-  return machine.echoed && !machine.unreachable && world_.now - machine.lastHeard <= overdue;
+  const auto overdue = wire::seconds(world_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
+  return machine.tokenAcknowledged && !machine.unreachable && world_.now - machine.lastHeartbeatAt <= overdue;
 }
 
 void Round::noteUnreachable(const Machine& machine) {
   for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.gang && attempt.holdsRoom()) unreachableGangs_.insert(attempt.number);
+    if (attempt.gang && attempt.holdsCapacity()) unreachableGangs_.insert(attempt.number);
 }
 
 Round::GangFit Round::gangFit(const Job& job, const std::string& zone) const {
@@ -79,13 +79,13 @@
     return;
   }
   plan_.unplaced.push_back(UnplacedDemand{&job, job.spec.taskCount});
-  makeRoomForGang(job);
+  preemptForGang(job);
   if (!holds) return;
   ++reservedGangs_;
   for (const std::size_t at : best.bins) bins_[at].freeCapacity -= job.spec.each;
 }
 
-void Round::makeRoomForGang(const Job& job) {
+void Round::preemptForGang(const Job& job) {
   const bool guaranteed = withinGuarantee(job.spec.ref.text);
   const bool entitled = shareAccount_ && shareAccount_->mayClaim(job);
   if (entitled) entitled_.push_back(&job);
@@ -106,7 +106,7 @@
       wire::Resources freeCapacity = bin.freeCapacity;
       std::vector<const machines::Attempt*> candidates;
       for (const machines::Attempt& attempt : bin.machine->attempts) {
-        if (!attempt.holdsRoom()) continue;
+        if (!attempt.holdsCapacity()) continue;
         if (attempt.stopWanted || stopped_.contains(attempt.number)) {
           freeCapacity += attempt.each;  // on its way out
         } else if (!attempt.gang && (mayStop(job, guaranteed, attempt) ||
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -45,7 +45,7 @@
     if (!bin.stopping || !usable(bin, job)) continue;
     wire::Resources freeing = bin.freeCapacity;
     for (const machines::Attempt& attempt : bin.machine->attempts)
-      if (attempt.holdsRoom() && attempt.stopWanted) freeing += attempt.each;
+      if (attempt.holdsCapacity() && attempt.stopWanted) freeing += attempt.each;
     while (job.spec.each.fitsIn(freeing)) {
       freeing -= job.spec.each;
       ++coming;
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -21,7 +21,7 @@
   for (Machine* machine : world.machines) {
     Bin bin{machine, machine->total, wire::Priority::prod, false, {}, {}, false, {}};
     for (const machines::Attempt& attempt : machine->attempts) {
-      if (!attempt.holdsRoom()) continue;
+      if (!attempt.holdsCapacity()) continue;
       bin.freeCapacity -= attempt.each;
       if (limited) {
         TeamUse& use = teams_[attempt.team];
@@ -61,12 +61,12 @@
 }
 
 bool Round::takesWork(const Machine& machine) const {
-  if (machine.phase != machines::MachinePhase::up || machine.sick) return false;
+  if (machine.phase != machines::MachinePhase::up || machine.quarantined) return false;
   // Heard from in both directions under this term: what is known of it from records, late copies of reports
   // or one direction alone is no reason to give it work.
-  if (!machine.echoed || machine.suspectUntil > world_.now) return false;
-  const auto silent = wire::seconds(world_.settings.reportS * constants::kSilentReports);
-  return world_.now - machine.lastHeard <= silent && !machine.spotNoticeAt;
+  if (!machine.tokenAcknowledged || machine.suspectUntil > world_.now) return false;
+  const auto silent = wire::seconds(world_.settings.heartbeatIntervalS * constants::kSilentHeartbeats);
+  return world_.now - machine.lastHeartbeatAt <= silent && !machine.spotNoticeAt;
 }
 
 bool Round::avoids(const Job& job, const Machine& machine) {
@@ -177,7 +177,7 @@
 
 void Round::placeJob(const Turn& turn) {
   Job& job = *turn.job;
-  if (job.waiting == 0 || std::max(job.heldUntil, job.failures.heldUntil()) > world_.now) return;
+  if (job.waiting == 0 || std::max(job.backoffUntil, job.failures.backoffUntil()) > world_.now) return;
   Fill progress{job.firstWaiting, 0, FillLimit::none};
   // What has waited too long gets a start whatever its group has, if nothing of it runs.
   const bool overlooked = turn.tier == Tier::overlooked && job.placed == 0;
--- a/src/placement/round.hpp
+++ b/src/placement/round.hpp
@@ -111,7 +111,7 @@
   // All or nothing, in one decision, and nothing while anything of an earlier attempt may be on a machine.
   void placeGang(Job& job);
   // What may be stopped so that the whole gang fits, in the cheapest zone; nothing if it still would not.
-  void makeRoomForGang(const Job& job);
+  void preemptForGang(const Job& job);
   // Places what fits; asks for room, and for machines, for the rest.
   void placeJob(const Turn& turn);
   // Tasks that the job may be given in this round.
--- a/src/service/completion_records.cpp
+++ b/src/service/completion_records.cpp
@@ -58,7 +58,7 @@
   for (const std::string& ref : finished_) {
     if (refs.size() >= context_.settings.stateTxnOps) break;
     const jobs::Job* job = jobs_.find(ref);
-    transaction.conditions.push_back({jobs::jobKey(ref), job->stamp});
+    transaction.conditions.push_back({jobs::jobKey(ref), job->revision});
     transaction.writes.push_back(
         {jobs::jobKey(ref), jobs::encodeFinal(*job, jobs::JobPhase::done), std::nullopt});
     refs.push_back(ref);
@@ -78,9 +78,9 @@
   for (const std::string& ref : refs) {
     jobs::Job* job = jobs_.find(ref);
     // Their records of progress have done their service.
-    for (const auto& [chunk, stamp] : job->doneStamps) deletes_.insert(jobs::doneKey(ref, chunk));
+    for (const auto& [chunk, revision] : job->doneRevisions) deletes_.insert(jobs::doneKey(ref, chunk));
     const Json record = jobs::encodeFinal(*job, jobs::JobPhase::done);
-    if (jobs_.apply(ref, record, outcome.stamp) == jobs::JobTable::Change::ended) {
+    if (jobs_.apply(ref, record, outcome.revision) == jobs::JobTable::Change::ended) {
       context_.event(Level::info, "job_done", {{"job", ref}});
       hooks_.ended(*jobs_.find(ref));
     }
@@ -108,9 +108,9 @@
     }
     const std::uint32_t chunk = *job->dirtyChunks.begin();
     job->dirtyChunks.erase(job->dirtyChunks.begin());
-    const auto stamp = job->doneStamps.find(chunk);
+    const auto revision = job->doneRevisions.find(chunk);
     transaction.conditions.push_back(
-        {jobs::doneKey(ref, chunk), stamp == job->doneStamps.end() ? 0 : stamp->second});
+        {jobs::doneKey(ref, chunk), revision == job->doneRevisions.end() ? 0 : revision->second});
     transaction.writes.push_back({jobs::doneKey(ref, chunk), Json{{"hex", job->doneChunk(chunk)}}, {}});
     chunks.emplace_back(ref, chunk);
     inFlight_.insert(chunks.back());
@@ -129,7 +129,7 @@
     jobs::Job* job = jobs_.find(ref);
     const bool open = job != nullptr && job->open();
     if (applied && open) {
-      job->doneStamps[chunk] = outcome.stamp;
+      job->doneRevisions[chunk] = outcome.revision;
     } else if (applied) {
       deletes_.insert(jobs::doneKey(ref, chunk));  // it has ended in between
     } else if (open) {
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -30,14 +30,16 @@
                                     std::min(constants::kPollShare,
                                              constants::kPollsShare /
                                                  static_cast<double>(settings.siblings.size() + 1)))),
-               {[this](const auto& key, const Json* value, std::uint64_t stamp) { onJob(key, value, stamp); },
+               {[this](const auto& key, const Json* value, std::uint64_t revision) {
+                  onJob(key, value, revision);
+                },
                 nullptr, nullptr}),
       leadership_(context_.state, settings, seed,
-                  {[this](std::uint64_t term, const std::vector<std::uint64_t>& stamps) {
+                  {[this](std::uint64_t term, const std::vector<std::uint64_t>& revisions) {
                      // Made in the next turn: this is called from within the leadership's own affairs.
                      leaderDue_ = true;
                      leaderTerm_ = term;
-                     leaderPartStamps_ = stamps;
+                     leaderPartitionRevisions_ = revisions;
                      context_.event(Level::info, "elected", {{"term", term}});
                    },
                    [this](const char* why) {
@@ -49,8 +51,8 @@
                      context_.event(Level::error, "layout_refused",
                                     {{"found", layout}, {"readable", constants::kLayout}});
                    }}),
-      users_(context_, jobFeed_, jobs_, leadership_,
-             [this](auto change, const std::string& ref) { applied(change, ref); }) {
+      jobApi_(context_, jobFeed_, jobs_, leadership_,
+              [this](auto change, const std::string& ref) { applied(change, ref); }) {
   if (settings.operators.shares.on) shares_ = std::make_unique<SharesFollower>(context_);
 }
 
@@ -84,12 +86,12 @@
   if (leaderDue_) {
     leaderDue_ = false;
     if (leader_) {
-      for (const std::string& ref : jobs_.open()) jobs_.find(ref)->endOwning();
+      for (const std::string& ref : jobs_.open()) jobs_.find(ref)->endTracking();
       leader_.reset();
     }
     if (leaderTerm_ != 0)
-      leader_ =
-          std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, leaderTerm_, leaderPartStamps_);
+      leader_ = std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, leaderTerm_,
+                                         leaderPartitionRevisions_);
   }
   leadership_.tick(now);
   // The leader's window for answering workers rests on this read as well as on the lease.
@@ -98,12 +100,12 @@
     jobFeed_.confirm(now, [](bool) {});
   }
   jobFeed_.tick(now);
-  users_.tick();
+  jobApi_.tick();
   if (shares_) shares_->tick(leadership_.leading());
   if (leader_) leader_->tick();
   fetchCatalog();
   if (now >= nextHeartbeat_) sendHeartbeat();
-  std::erase_if(detours_,
+  std::erase_if(relayRoutes_,
                 [now](const auto& entry) { return now - entry.second.lastSeen > 2 * constants::kRelayFor; });
   for (auto relay = relays_.begin(); relay != relays_.end();) {
     if (relay->second.deadline > now) {
@@ -130,10 +132,10 @@
   if (leader_ && !leaderDue_) leader_->advance();
 }
 
-void Controller::onJob(const std::string& key, const Json* value, std::uint64_t stamp) {
+void Controller::onJob(const std::string& key, const Json* value, std::uint64_t revision) {
   if (value == nullptr || !key.starts_with(kJobsPrefix)) return;
   const std::string ref = key.substr(kJobsPrefix.size());
-  applied(jobs_.apply(ref, *value, stamp), ref);
+  applied(jobs_.apply(ref, *value, revision), ref);
 }
 
 void Controller::applied(jobs::JobTable::Change change, const std::string& ref) {
@@ -157,76 +159,77 @@
   };
   if (path == "/healthz") {
     if (!get) return wrongMethod();
-    const bool able = jobFeed_.ready() && context_.catalog.has_value() && !alone();
+    const bool able = jobFeed_.ready() && context_.catalog.has_value() && !isIsolated();
     return able ? context_.reply(request.number, 200, Json{{"ok", true}}) : context_.later(request.number);
   }
   if (path == "/v1/report") {
     if (!post) return wrongMethod();
-    return report(request.number, request.body);
+    return heartbeat(request.number, request.body);
   }
   if (path == kJobsPath) {
     if (!post) return wrongMethod();
-    return users_.submit(request.number, request.body);
+    return jobApi_.submit(request.number, request.body);
   }
   if (path.starts_with(kJobsPath) && path.size() > kJobsPath.size() + 1 && path[kJobsPath.size()] == '/') {
     path.remove_prefix(kJobsPath.size() + 1);
     if (path.ends_with(kAbortEnd)) {
       if (!post) return wrongMethod();
-      return users_.abort(request.number, std::string(path.substr(0, path.size() - kAbortEnd.size())));
+      return jobApi_.abort(request.number, std::string(path.substr(0, path.size() - kAbortEnd.size())));
     }
     if (path.find('/') == std::string_view::npos) {
       if (!get) return wrongMethod();
-      return users_.query(request.number, std::string(path));
+      return jobApi_.query(request.number, std::string(path));
     }
   }
   context_.reply(request.number, 404, Json{{"error", "no such path"}});
 }
 
-void Controller::report(std::uint64_t request, const std::string& body) {
+void Controller::heartbeat(std::uint64_t request, const std::string& body) {
   const auto decoded = wire::decodeBody(body);
-  const auto report =
-      decoded ? wire::decodeReport(*decoded) : wire::Result<wire::Report>::failure(decoded.reason());
-  if (!report) {
-    context_.event(Level::info, "bad_report", {{"why", report.reason()}});
-    return context_.reply(request, 400, Json{{"error", report.reason()}});
+  const auto heartbeat = decoded ? wire::decodeHeartbeat(*decoded)
+                                 : wire::Result<wire::WorkerHeartbeat>::failure(decoded.reason());
+  if (!heartbeat) {
+    context_.event(Level::info, "bad_report", {{"why", heartbeat.reason()}});
+    return context_.reply(request, 400, Json{{"error", heartbeat.reason()}});
   }
   if (leadership_.leading()) {
     if (!leader_ || leaderDue_) return context_.later(request);
-    auto answer = leader_->onReport(*report, Leader::Source::report);
+    auto answer = leader_->onHeartbeat(*heartbeat, Leader::Source::heartbeat);
     if (answer.status != 200) return context_.later(request);
     return context_.reply(request, 200, std::move(answer.body));
   }
-  misdirected(request, *report, body);
+  redirectOrRelay(request, *heartbeat, body);
 }
 
-void Controller::misdirected(std::uint64_t request, const wire::Report& report, const std::string& body) {
+void Controller::redirectOrRelay(std::uint64_t request, const wire::WorkerHeartbeat& heartbeat,
+                                 const std::string& body) {
   const std::string leader = leaderLabel();
   if (leader.empty() || leader == settings_.label || settings_.sibling(leader) == nullptr)
     return context_.later(request);
-  Detour& detour = detours_[report.host.text];
-  if (detour.leader != leader) detour = Detour{leader, {}, {}, {}};
-  detour.lastSeen = context_.now;
+  RelayRoute& route = relayRoutes_[heartbeat.host.text];
+  if (route.leader != leader) route = RelayRoute{leader, {}, {}, {}};
+  route.lastSeen = context_.now;
   // It has been commanded under this term, or was sent to the leader a moment ago, and is here all the same:
   // it can't reach the leader, but perhaps we can. Now and then it is sent back, in case the way is open
   // again.
-  const bool left = report.token >= cluster::token(leadership_.term(), 0) ||
-                    context_.now - detour.redirectedAt < constants::kRelayMemory;
+  const bool left = heartbeat.token >= cluster::token(leadership_.term(), 0) ||
+                    context_.now - route.redirectedAt < constants::kRelayMemory;
   const bool enough =
-      detour.relayedSince != Time{} && context_.now - detour.relayedSince > constants::kRelayFor;
+      route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kRelayFor;
   if (left && !enough) {
     // Without a link to the leader there is no way round through us either, but perhaps through the next
     // controller. Sent back to the leader, the worker would come to us again and again.
     const auto heard = heard_.find(leader);
     if (heard == heard_.end() || context_.now - heard->second.at >= constants::kHeartbeatFresh)
       return context_.later(request);
-    if (detour.relayedSince == Time{}) detour.relayedSince = context_.now;
+    if (route.relayedSince == Time{}) route.relayedSince = context_.now;
     const std::uint64_t number = nextRelay_++;
     relays_[number] = RelayOut{request, context_.now + constants::kRelayTimeout};
     context_.peerOut.push_back(PeerSend{leader, peer::Message{settings_.label, peer::Relay{number, body}}});
     return;
   }
-  detour.redirectedAt = context_.now;
-  detour.relayedSince = Time{};
+  route.redirectedAt = context_.now;
+  route.relayedSince = Time{};
   context_.reply(request, 421, Json{{"foreman", leader}});
 }
 
@@ -244,22 +247,22 @@
   progressTerm_ = progress.term;
   for (const peer::JobProgress& shown : progress.jobs) {
     if (jobs::Job* job = jobs_.find(shown.ref); job != nullptr && job->open()) {
-      job->shownDone = shown.done;
-      job->shownRunning = shown.running;
+      job->displayedDone = shown.done;
+      job->displayedRunning = shown.running;
     }
   }
 }
 
 void Controller::onRelay(const std::string& from, const peer::Relay& relay) {
   peer::Relayed answer{relay.number, 503, {}};
-  const auto decoded = wire::decodeBody(relay.report);
-  const auto report =
-      decoded ? wire::decodeReport(*decoded) : wire::Result<wire::Report>::failure(decoded.reason());
-  if (report && leader_ && !leaderDue_) {
-    auto given = leader_->onReport(*report, Leader::Source::relay);
+  const auto decoded = wire::decodeBody(relay.heartbeat);
+  const auto heartbeat = decoded ? wire::decodeHeartbeat(*decoded)
+                                 : wire::Result<wire::WorkerHeartbeat>::failure(decoded.reason());
+  if (heartbeat && leader_ && !leaderDue_) {
+    auto given = leader_->onHeartbeat(*heartbeat, Leader::Source::relay);
     if (context_.logs(Level::debug))
       context_.event(Level::debug, "relayed",
-                     {{"machine", report->host.text}, {"through", from}, {"status", given.status}});
+                     {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
     answer.status = given.status;
     if (given.status == 200) answer.body = wire::encodeBody(given.body);
   }
@@ -280,16 +283,16 @@
   heard_[from] = Heard{context_.now, heartbeat.confirmed};
   context_.siblingHeardAt = context_.now;
   if (heartbeat.confirmed) context_.siblingConfirmedAt = context_.now;
-  if (!heartbeat.leading || heartbeat.term <= toldTerm_) return;
-  toldTerm_ = heartbeat.term;
-  toldLeader_ = from;
+  if (!heartbeat.leading || heartbeat.term <= announcedTerm_) return;
+  announcedTerm_ = heartbeat.term;
+  announcedLeader_ = from;
   // We may be the last to hear of it: as long as we answered workers 200, they would not look for the new
   // leader.
   if (leadership_.leading() && heartbeat.term > leadership_.term()) leadership_.resign("a sibling leads");
 }
 
-bool Controller::alone() const {
-  if (settings_.siblings.empty() || context_.now - jobFeed_.confirmedAt() < constants::kAloneAfter)
+bool Controller::isIsolated() const {
+  if (settings_.siblings.empty() || context_.now - jobFeed_.confirmedAt() < constants::kIsolatedAfter)
     return false;
   bool silent = true;
   for (const auto& [label, heard] : heard_) {
@@ -301,7 +304,7 @@
 }
 
 std::string Controller::leaderLabel() const {
-  return toldTerm_ > leadership_.term() ? toldLeader_ : leadership_.leader();
+  return announcedTerm_ > leadership_.term() ? announcedLeader_ : leadership_.leader();
 }
 
 void Controller::sendHeartbeat() {
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -7,9 +7,9 @@
 
 #include "cluster/leadership.hpp"
 #include "service/context.hpp"
+#include "service/job_api.hpp"
 #include "service/leader.hpp"
 #include "service/shares.hpp"
-#include "service/users.hpp"
 
 namespace reachhoist::service {
 
@@ -46,17 +46,18 @@
   void at(Time now, std::int64_t wallMs);
   // The process stood still for so long: nothing was heard, which says nothing about others.
   void resumed(wire::Duration away);
-  void onJob(const std::string& key, const Json* value, std::uint64_t stamp);
+  void onJob(const std::string& key, const Json* value, std::uint64_t revision);
   void applied(jobs::JobTable::Change change, const std::string& ref);
-  void report(std::uint64_t request, const std::string& body);
-  void misdirected(std::uint64_t request, const wire::Report& report, const std::string& body);
+  void heartbeat(std::uint64_t request, const std::string& body);
+  void redirectOrRelay(std::uint64_t request, const wire::WorkerHeartbeat& heartbeat,
+                       const std::string& body);
   void relayed(const peer::Relayed& relayed);
   void onRelay(const std::string& from, const peer::Relay& relay);
   void sendHeartbeat();
   void onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat);
   // Siblings have the state service, or all are out of reach as well, and we have not: users fare better
   // elsewhere.
-  bool alone() const;
+  bool isIsolated() const;
   std::string leaderLabel() const;
   void fetchCatalog();
 
@@ -65,11 +66,11 @@
   jobs::JobTable jobs_;
   state::Feed jobFeed_;
   cluster::Leadership leadership_;
-  Users users_;
+  JobApi jobApi_;
   std::unique_ptr<SharesFollower> shares_;  // none: the operators' file has no such block
   std::unique_ptr<Leader> leader_;
   std::uint64_t leaderTerm_ = 0;
-  std::vector<std::uint64_t> leaderPartStamps_;
+  std::vector<std::uint64_t> leaderPartitionRevisions_;
   bool leaderDue_ = false;
   Time lastActive_{};
   Time nextConfirm_{};
@@ -81,16 +82,16 @@
     bool confirmed = false;
   };
   std::map<std::string, Heard> heard_;  // of siblings
-  std::uint64_t toldTerm_ = 0;          // the latest that a sibling said it leads under
-  std::string toldLeader_;
+  std::uint64_t announcedTerm_ = 0;     // the latest that a sibling said it leads under
+  std::string announcedLeader_;
 
-  struct Detour {
+  struct RelayRoute {
     std::string leader;
     Time redirectedAt{};
     Time relayedSince{};  // unset: not relayed
     Time lastSeen{};
   };
-  std::map<std::string, Detour> detours_;  // by host: workers that came here though another owns them
+  std::map<std::string, RelayRoute> relayRoutes_;  // by host: workers that came here though another owns them
   struct RelayOut {
     std::uint64_t request = 0;
     Time deadline{};
--- a/src/service/users.cpp
+++ b/src/service/job_api.cpp
@@ -1,4 +1,4 @@
-#include "service/users.hpp"
+#include "service/job_api.hpp"
 
 #include <algorithm>
 
@@ -11,26 +11,26 @@
 constexpr std::chrono::milliseconds kPatience{1500};  // a submission is answered by then: 503 if need be
 }  // namespace
 
-Users::Users(Context& context, state::Feed& feed, jobs::JobTable& jobs, const cluster::Leadership& leadership,
-             Applied applied)
+JobApi::JobApi(Context& context, state::Feed& feed, jobs::JobTable& jobs,
+               const cluster::Leadership& leadership, Applied applied)
     : context_(context), feed_(feed), jobs_(jobs), leadership_(leadership), applied_(std::move(applied)) {}
 
-Json Users::shown(const jobs::Job& job) const {
-  std::uint32_t done = job.tasks.empty() ? job.shownDone : job.completed;
-  std::uint32_t running = job.tasks.empty() ? job.shownRunning : job.running;
+Json JobApi::shown(const jobs::Job& job) const {
+  std::uint32_t done = job.tasks.empty() ? job.displayedDone : job.completed;
+  std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.running;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
   if (!job.open()) running = 0;
   return Json{{"ref", job.spec.ref.text},
-              {"stage", wire::name(job.shownStage())},
+              {"stage", wire::name(job.displayedStage())},
               {"done", done},
               {"running", running}};
 }
 
-Json Users::brief(const jobs::Job& job) const {
-  return Json{{"ref", job.spec.ref.text}, {"stage", wire::name(job.shownStage())}};
+Json JobApi::brief(const jobs::Job& job) const {
+  return Json{{"ref", job.spec.ref.text}, {"stage", wire::name(job.displayedStage())}};
 }
 
-void Users::query(std::uint64_t request, const std::string& ref) {
+void JobApi::query(std::uint64_t request, const std::string& ref) {
   if (!wire::validJobRef(ref)) return context_.reply(request, 404, Json{{"error", "no such job"}});
   // A final stage never changes, so memory will do; anything else needs a read begun after the request came.
   if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->open())
@@ -43,7 +43,7 @@
   });
 }
 
-void Users::answerKnown(std::uint64_t request, const std::string& ref) {
+void JobApi::answerKnown(std::uint64_t request, const std::string& ref) {
   if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->open())
     return context_.reply(request, 200, brief(*job));
   feed_.confirm(context_.now, [this, request, ref](bool ok) {
@@ -53,12 +53,13 @@
   });
 }
 
-std::optional<std::string> Users::cannotRun(const wire::JobSpec& spec) const {
+std::optional<std::string> JobApi::cannotRun(const wire::JobSpec& spec) const {
   const config::Team* team = context_.settings.team(spec.team);
   if (team == nullptr) return "unknown team";
   const bool fits = std::any_of(
       context_.catalog->begin(), context_.catalog->end(), [&](const wire::MachineType& machineType) {
-        if (!spec.allowsMachineType(machineType.label) || !spec.each.fitsIn(machineType.room)) return false;
+        if (!spec.allowsMachineType(machineType.label) || !spec.each.fitsIn(machineType.capacity))
+          return false;
         return spec.zone ? std::find(machineType.zones.begin(), machineType.zones.end(), *spec.zone) !=
                                machineType.zones.end()
                          : !machineType.zones.empty();
@@ -71,7 +72,7 @@
   return std::nullopt;
 }
 
-void Users::submit(std::uint64_t request, const std::string& body) {
+void JobApi::submit(std::uint64_t request, const std::string& body) {
   const auto decoded = wire::decodeBody(body);
   if (!decoded || !decoded->is_object())
     return context_.reply(request, 400, Json{{"error", decoded ? "body is not a map" : decoded.reason()}});
@@ -109,7 +110,7 @@
   refuse(request, ref, spec ? 422 : 400, spec ? *why : spec.reason());
 }
 
-void Users::refuse(std::uint64_t request, const std::string& ref, int status, const std::string& reason) {
+void JobApi::refuse(std::uint64_t request, const std::string& ref, int status, const std::string& reason) {
   // Unless another controller knows the job.
   feed_.confirm(context_.now, [this, request, ref, status, reason](bool ok) {
     if (!ok) return context_.later(request);
@@ -118,7 +119,7 @@
   });
 }
 
-void Users::sendSubmissions() {
+void JobApi::sendSubmissions() {
   while (!queue_.empty() && flying_ < kFlyingMost && context_.now >= resumeAt_) {
     // What has gathered while others were under way goes out together.
     state::Transaction transaction;
@@ -167,12 +168,12 @@
   }
 }
 
-void Users::onSubmissions(const std::vector<std::string>& refs, const std::vector<Json>& records,
-                          const wire::CallResult& result) {
+void JobApi::onSubmissions(const std::vector<std::string>& refs, const std::vector<Json>& records,
+                           const wire::CallResult& result) {
   if (result.ok()) {
-    const std::uint64_t stamp = wire::countField(result.body, "ledger").value_or(0);
+    const std::uint64_t revision = wire::countField(result.body, "ledger").value_or(0);
     for (std::size_t i = 0; i < refs.size(); ++i) {
-      const auto change = jobs_.apply(refs[i], records[i], stamp);
+      const auto change = jobs_.apply(refs[i], records[i], revision);
       auto submission = submissions_.extract(refs[i]);
       const jobs::Job& job = *jobs_.find(refs[i]);
       if (!submission.empty())
@@ -219,18 +220,18 @@
   for (const std::string& ref : refs) giveUp(ref);
 }
 
-void Users::giveUp(const std::string& ref) {
+void JobApi::giveUp(const std::string& ref) {
   auto submission = submissions_.extract(ref);
   if (submission.empty()) return;
   for (const std::uint64_t request : submission.mapped().requests) context_.later(request);
 }
 
-void Users::abort(std::uint64_t request, const std::string& ref) {
+void JobApi::abort(std::uint64_t request, const std::string& ref) {
   if (!wire::validJobRef(ref)) return context_.reply(request, 404, Json{{"error", "no such job"}});
   tryAbort(request, ref, kAbortTries);
 }
 
-void Users::tryAbort(std::uint64_t request, const std::string& ref, int tries) {
+void JobApi::tryAbort(std::uint64_t request, const std::string& ref, int tries) {
   const jobs::Job* job = jobs_.find(ref);
   if (job != nullptr && !job->open()) return context_.reply(request, 200, brief(*job));
   if (tries == 0) return context_.later(request);
@@ -243,7 +244,7 @@
   };
   if (job == nullptr) return catchUp();
   state::Transaction transaction;
-  transaction.conditions.push_back({jobs::jobKey(ref), job->stamp});
+  transaction.conditions.push_back({jobs::jobKey(ref), job->revision});
   const Json record = jobs::encodeFinal(*job, jobs::JobPhase::cancelled);
   transaction.writes.push_back({jobs::jobKey(ref), record, std::nullopt});
   context_.state.multi(context_.now, state::Urgency::accept, transaction,
@@ -257,6 +258,6 @@
                        });
 }
 
-void Users::tick() { sendSubmissions(); }
+void JobApi::tick() { sendSubmissions(); }
 
 }  // namespace reachhoist::service
--- a/src/service/users.hpp
+++ b/src/service/job_api.hpp
@@ -14,14 +14,14 @@
 
 namespace reachhoist::service {
 
-class Users {
+class JobApi {
  public:
   // Told of every job that this controller itself made known or ended.
   using Applied = std::function<void(jobs::JobTable::Change, const std::string& ref)>;
 
   // The leadership tells how the first gang fences off versions that can't read it.
-  Users(Context& context, state::Feed& feed, jobs::JobTable& jobs, const cluster::Leadership& leadership,
-        Applied applied);
+  JobApi(Context& context, state::Feed& feed, jobs::JobTable& jobs, const cluster::Leadership& leadership,
+         Applied applied);
 
   void submit(std::uint64_t request, const std::string& body);
   void query(std::uint64_t request, const std::string& ref);
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -6,50 +6,51 @@
 namespace reachhoist::service {
 
 namespace {
-constexpr const char* kPagePrefix = "placed/";
+constexpr const char* kBatchPrefix = "placed/";
 constexpr const char* kDonePrefix = "done/";
-constexpr const char* kLearnedKey = "fleet/learned";
+constexpr const char* kSizingStateKey = "fleet/learned";
 
-std::size_t valueRoom(const config::Settings& settings) {
-  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kPageFill);
+std::size_t maxValueBytes(const config::Settings& settings) {
+  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kBatchFill);
 }
 }  // namespace
 
 Leader::Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
-               std::uint64_t term, std::vector<std::uint64_t> partStamps)
+               std::uint64_t term, std::vector<std::uint64_t> partitionRevisions)
     : context_(context),
       leadership_(leadership),
       jobFeed_(jobFeed),
       jobs_(jobs),
       term_(term),
-      partStamps_(std::move(partStamps)),
+      partitionRevisions_(std::move(partitionRevisions)),
       electedAt_(context.now),
-      pages_(std::min<std::size_t>(constants::kPageBytes, valueRoom(context.settings))),
-      valueRoom_(valueRoom(context.settings)),
+      batches_(std::min<std::size_t>(constants::kBatchBytes, maxValueBytes(context.settings))),
+      maxValueBytes_(maxValueBytes(context.settings)),
       commands_(context, machines_, term,
-                {[this] { return mayAnswer(); }, [this] { return sure(); },
+                {[this] { return mayRenewLeases(); }, [this] { return holdsLeaderLease(); },
                  [this](const Attempt& attempt) { return gangMayStart(attempt); },
                  [this](const wire::TaskId& task) { return records_.isDurable(task); },
-                 [this](Machine& machine, const wire::Report& report) {
-                   takeEvidence(machine, report, Source::direct);
+                 [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
+                   applyHeartbeat(machine, heartbeat, Source::direct);
                  },
                  [this] { planDue_ = true; }}),
-      records_(context, jobs, context.settings.label + "-" + std::to_string(term),
-               {[this] { return partConditions(); },
-                [this](const state::Outcome& outcome, const char* what) { refusedBy(outcome, what); },
-                [this](jobs::Job& job) { onJobEnded(job); }, [this] { forgetsDue(); }}),
+      records_(
+          context, jobs, context.settings.label + "-" + std::to_string(term),
+          {[this] { return partitionConditions(); },
+           [this](const state::Outcome& outcome, const char* what) { onTransactionRefused(outcome, what); },
+           [this](jobs::Job& job) { onJobEnded(job); }, [this] { scheduleForgetCommands(); }}),
       placements_(context.state, context.settings.label + "-" + std::to_string(term) + "-p"),
-      retiring_(context.state, context.settings.label + "-" + std::to_string(term) + "-r"),
-      cuts_(context.settings),
+      decommissioning_(context.state, context.settings.label + "-" + std::to_string(term) + "-r"),
+      partitionDetector_(context.settings),
       shares_(context),
       cloud_(std::make_unique<cloud::Client>(
           context.calls, context.settings, context.settings.label + "-" + std::to_string(term),
           cloud::Client::Handlers{
               [this](const auto& pool, const auto& hosts, std::size_t refused) {
-                onRented(pool, hosts, refused);
+                onInstancesProvisioned(pool, hosts, refused);
               },
-              [this](const auto& hosts) { onReturned(hosts); },
-              [this](const auto& hosts) { onListed(hosts); },
+              [this](const auto& hosts) { onInstancesReleased(hosts); },
+              [this](const auto& hosts) { onInstancesListed(hosts); },
               [this](std::vector<wire::MachineType> catalog) { context_.catalog = std::move(catalog); }})),
       sizing_(context.settings, term) {
   load();
@@ -64,42 +65,42 @@
 }
 
 // While this process stood still another may have been elected: it asks before it acts again.
-bool Leader::reconfirmed() const {
+bool Leader::confirmedSinceResume() const {
   return std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt()) >= context_.resumedAt;
 }
 
-bool Leader::mayAnswer() const {
+bool Leader::mayRenewLeases() const {
   // Ownership alone is not enough: the read that confirms must also have brought in every cancellation.
   const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
-  return reconfirmed() && context_.now - confirmed < context_.settings.answerWindow();
+  return confirmedSinceResume() && context_.now - confirmed < context_.settings.answerWindow();
 }
 
-bool Leader::sure() const {
+bool Leader::holdsLeaderLease() const {
   const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
-  return reconfirmed() && context_.now - confirmed < constants::kLeaderTtl;
+  return confirmedSinceResume() && context_.now - confirmed < constants::kLeaderTtl;
 }
 
 void Leader::resumed(wire::Duration away) {
   // Nothing was heard because nobody listened. What an earlier answer renewed goes on running out, though.
   for (auto& [host, machine] : machines_.all()) {
-    machine.lastHeard += away;
-    machine.lastDirect += away;
-    if (machine.unechoedSince != Time{}) machine.unechoedSince += away;
+    machine.lastHeartbeatAt += away;
+    machine.lastDirectContactAt += away;
+    if (machine.unacknowledgedSince != Time{}) machine.unacknowledgedSince += away;
   }
-  cuts_.reset();
+  partitionDetector_.reset();
 }
 
-std::vector<state::Condition> Leader::partConditions() const {
+std::vector<state::Condition> Leader::partitionConditions() const {
   std::vector<state::Condition> out;
-  for (cluster::Part part = 0; part < partStamps_.size(); ++part)
-    out.push_back({cluster::partKey(part), partStamps_[part]});
+  for (cluster::PartitionId part = 0; part < partitionRevisions_.size(); ++part)
+    out.push_back({cluster::partitionKey(part), partitionRevisions_[part]});
   return out;
 }
 
 // --- loading ---------------------------------------------------------------------------------------------
 
 void Leader::load() {
-  loadsLeft_ = {kPagePrefix, kDonePrefix, kRetiringKey, "jobs"};
+  loadsLeft_ = {kBatchPrefix, kDonePrefix, kDecommissioningKey, "jobs"};
   loadRetryAt_ = context_.now;
 }
 
@@ -120,14 +121,14 @@
                           const Json* value = wire::field(pair, "value");
                           if (!key || value == nullptr) continue;
                           last = *key;
-                          const std::uint64_t stamp = wire::countField(pair, "stamp").value_or(0);
+                          const std::uint64_t revision = wire::countField(pair, "stamp").value_or(0);
                           const std::string rest = key->substr(prefix.size());
-                          if (prefix == kPagePrefix) {
-                            adoptPage(rest, *value, stamp);
-                          } else if (prefix == kRetiringKey) {
-                            adoptRetiring(*value, stamp);
+                          if (prefix == kBatchPrefix) {
+                            adoptBatch(rest, *value, revision);
+                          } else if (prefix == kDecommissioningKey) {
+                            adoptDecommissioning(*value, revision);
                           } else {
-                            adoptDone(rest, *value, stamp);
+                            adoptDone(rest, *value, revision);
                           }
                         }
                         if (wire::flagField(result.body, "more").value_or(false) && !last.empty())
@@ -136,7 +137,7 @@
                       });
 }
 
-void Leader::adoptDone(const std::string& rest, const Json& value, std::uint64_t stamp) {
+void Leader::adoptDone(const std::string& rest, const Json& value, std::uint64_t revision) {
   const auto slash = rest.find('/');
   std::uint32_t chunk = 0;
   const auto hex = wire::textField(value, "hex");
@@ -145,21 +146,21 @@
     context_.event(Level::error, "bad_record", {{"key", kDonePrefix + rest}});
     return;
   }
-  doneRecords_.push_back(DoneRecord{rest.substr(0, slash), chunk, *hex, stamp});
+  doneRecords_.push_back(DoneRecord{rest.substr(0, slash), chunk, *hex, revision});
 }
 
-void Leader::adoptRetiring(const Json& value, std::uint64_t stamp) {
-  retiringStamp_ = stamp;
+void Leader::adoptDecommissioning(const Json& value, std::uint64_t revision) {
+  decommissioningRevision_ = revision;
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_array()) {
-    context_.event(Level::error, "bad_record", {{"key", kRetiringKey}});
+    context_.event(Level::error, "bad_record", {{"key", kDecommissioningKey}});
     return;
   }
   for (const Json& host : *hosts)
-    if (host.is_string()) retiringLoaded_.push_back(host.get<std::string>());
+    if (host.is_string()) loadedDecommissioning_.push_back(host.get<std::string>());
 }
 
-void Leader::adoptPage(const std::string& number, const Json& value, std::uint64_t stamp) {
+void Leader::adoptBatch(const std::string& number, const Json& value, std::uint64_t revision) {
   std::uint32_t page = 0;
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), page);
   if (error != std::errc{} || end != number.data() + number.size()) {
@@ -169,24 +170,24 @@
   const auto hosts = machines::decodePlacementBatch(value);
   std::set<std::string> names;
   if (hosts)
-    for (const machines::BatchedHost& paged : *hosts) names.insert(paged.host);
+    for (const machines::BatchedHost& record : *hosts) names.insert(record.host);
   // Even a page that can't be read has a stamp, and its next writing depends on it.
-  pages_.loaded(page, stamp, std::move(names));
+  batches_.loaded(page, revision, std::move(names));
   if (!hosts) {
     context_.event(Level::error, "bad_record", {{"page", number}});
     return;
   }
-  for (const machines::BatchedHost& paged : *hosts) {
-    Machine& machine = machines_.add(paged.host);
-    machine.machineType = paged.machineType;
-    machine.zone = paged.zone;
-    machine.spot = paged.spot;
+  for (const machines::BatchedHost& record : *hosts) {
+    Machine& machine = machines_.add(record.host);
+    machine.machineType = record.machineType;
+    machine.zone = record.zone;
+    machine.spot = record.spot;
     machine.phase = MachinePhase::up;
-    machine.rentedAt = machine.lastHeard = machine.lastDirect = machine.upSince = machine.idleSince =
-        context_.now;
+    machine.provisionedAt = machine.lastHeartbeatAt = machine.lastDirectContactAt = machine.upSince =
+        machine.idleSince = context_.now;
     // Until this moment plus its window an earlier leader may have renewed the worker's lease.
-    machine.lastAnswered = electedAt_ + context_.settings.answerWindow();
-    for (const auto& [task, attemptNumber] : paged.placed) {
+    machine.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    for (const auto& [task, attemptNumber] : record.placed) {
       // On its way from a page that has become too large to another it stands on both.
       if (machine.find(task, attemptNumber) != nullptr) continue;
       Attempt attempt;
@@ -194,7 +195,7 @@
       attempt.number = attemptNumber;
       attempt.phase = AttemptPhase::recorded;
       attempt.inherited = true;
-      attempt.paged = page;
+      attempt.batch = page;
       attempt.since = attempt.placedAt = context_.now;
       machine.attempts.push_back(std::move(attempt));
     }
@@ -202,24 +203,24 @@
 }
 
 void Leader::loaded() {
-  for (const std::string& ref : jobs_.open()) jobs_.find(ref)->beginOwning(context_.now);
+  for (const std::string& ref : jobs_.open()) jobs_.find(ref)->beginTracking(context_.now);
   for (const DoneRecord& record : doneRecords_) {
     jobs::Job* job = jobs_.find(record.ref);
     if (job == nullptr || !job->open()) {
       records_.deleteLater(jobs::doneKey(record.ref, record.chunk));
-    } else if (!job->loadDoneChunk(record.chunk, record.hex, record.stamp, context_.now)) {
+    } else if (!job->loadDoneChunk(record.chunk, record.hex, record.revision, context_.now)) {
       context_.event(Level::error, "bad_record", {{"key", jobs::doneKey(record.ref, record.chunk)}});
     }
   }
   doneRecords_.clear();
   for (const std::string& ref : jobs_.open())
     if (jobs_.find(ref)->finished()) records_.finished(ref);
-  for (const std::string& host : retiringLoaded_) {
+  for (const std::string& host : loadedDecommissioning_) {
     Machine& machine = machines_.add(host);
-    machine.phase = MachinePhase::returning;
-    machine.lastAnswered = electedAt_ + context_.settings.answerWindow();
+    machine.phase = MachinePhase::terminating;
+    machine.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
   }
-  retiringLoaded_.clear();
+  loadedDecommissioning_.clear();
   for (auto& [host, machine] : machines_.all()) {
     describe(machine);
     for (Attempt& attempt : machine.attempts) {
@@ -243,13 +244,13 @@
       if (job->tasks[attempt.task.index] == jobs::TaskPhase::waiting)
         job->to(attempt.task.index, jobs::TaskPhase::placed, context_.now);
     }
-    if (machine.phase == MachinePhase::returning) cloud_->release(context_.now, host);
+    if (machine.phase == MachinePhase::terminating) cloud_->release(context_.now, host);
   }
-  adoptGangs();
+  adoptGangAttempts();
   to(State::acting);
   actingSince_ = context_.now;
-  nextCopy_ = context_.now + constants::kCopyEvery;
-  loadLearned();
+  nextSizingSave_ = context_.now + constants::kCopyEvery;
+  loadSizingState();
   context_.event(
       Level::info, "acting",
       {{"term", term_},
@@ -259,23 +260,23 @@
         std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - electedAt_).count()}});
 }
 
-void Leader::loadLearned() {
+void Leader::loadSizingState() {
   // Nobody waits for it: sizing follows the queues until it is there.
-  context_.state.get(context_.now, state::Urgency::complete, kLearnedKey,
+  context_.state.get(context_.now, state::Urgency::complete, kSizingStateKey,
                      [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                        if (!alive.lock() || !result.ok()) return;
                        const Json* value = wire::field(result.body, "value");
                        if (value == nullptr || !sizing_.decode(*value))
-                         context_.event(Level::error, "bad_record", {{"key", kLearnedKey}});
+                         context_.event(Level::error, "bad_record", {{"key", kSizingStateKey}});
                      });
 }
 
-void Leader::copyLearned() {
-  if (context_.now < nextCopy_) return;
-  nextCopy_ = context_.now + constants::kCopyEvery;
+void Leader::saveSizingState() {
+  if (context_.now < nextSizingSave_) return;
+  nextSizingSave_ = context_.now + constants::kCopyEvery;
   state::Transaction transaction;
-  transaction.conditions = partConditions();
-  transaction.writes.push_back({kLearnedKey, sizing_.encode(valueRoom_), std::nullopt});
+  transaction.conditions = partitionConditions();
+  transaction.writes.push_back({kSizingStateKey, sizing_.encode(maxValueBytes_), std::nullopt});
   context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
@@ -302,12 +303,12 @@
             }
           });
         } else {
-          if (prefix == kPagePrefix) {
+          if (prefix == kBatchPrefix) {
             machines_.clear();
-            pages_.clear();
+            batches_.clear();
           }
           if (prefix == kDonePrefix) doneRecords_.clear();
-          if (prefix == kRetiringKey) retiringLoaded_.clear();
+          if (prefix == kDecommissioningKey) loadedDecommissioning_.clear();
           loadPage(prefix, "");
         }
       }
@@ -315,15 +316,15 @@
     return;
   }
   cloud_->tick(context_.now);
-  watchSilence();
-  moveRetirements();
+  detectFailures();
+  advanceDecommissioning();
   advance();
   if (resigned_) return;
-  retiringRound();
+  writeDecommissioning();
   records_.clean();
-  sizeFleet();
-  copyLearned();
-  shares_.tick(machines_, jobs_, sure(), [this] { return partConditions(); });
+  autoscale();
+  saveSizingState();
+  shares_.tick(machines_, jobs_, holdsLeaderLease(), [this] { return partitionConditions(); });
   if (shares_.tableChanged()) planDue_ = true;
 }
 
@@ -331,28 +332,28 @@
   if (resigned_ || state_ != State::acting) return;
   records_.tick();
   placements_.tick(context_.now);
-  retiring_.tick(context_.now);
+  decommissioning_.tick(context_.now);
   records_.write();
   placementRound();
-  if (!resigned_) commands_.sendDirects();
+  if (!resigned_) commands_.sendDirectCommands();
 }
 
 void Leader::onJobAccepted(jobs::Job& job) {
   if (state_ != State::acting) return;
-  job.beginOwning(context_.now);
+  job.beginTracking(context_.now);
   planDue_ = true;
 }
 
 void Leader::onJobEnded(jobs::Job& job) {
   if (state_ != State::acting) return;
   const std::string ref = job.spec.ref.text;
-  job.endOwning();
+  job.endTracking();
   records_.forget(ref);
   shown_.erase(ref);
   for (auto& [host, machine] : machines_.all()) {
     for (Attempt& attempt : machine.attempts)
       if (attempt.task.job.text == ref) commands_.stop(machine, attempt, 0);
-    dropFree(machine);
+    eraseFreedAttempts(machine);
   }
   planDue_ = true;
 }
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -10,31 +10,31 @@
   if (!context_.catalog) return;
   for (const wire::MachineType& machineType : *context_.catalog) {
     if (machineType.label != machine.machineType) continue;
-    machine.total = machineType.room;
+    machine.total = machineType.capacity;
     machine.cacheGb = machineType.cacheGb;
     machine.pullGbPerS = machineType.pullGbPerS;
   }
 }
 
-void Leader::onRented(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
-                      std::size_t refused) {
+void Leader::onInstancesProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
+                                    std::size_t refused) {
   for (const std::string& host : hosts) {
     if (machines_.find(host) != nullptr) continue;  // its worker was faster than the answer
     Machine& machine = machines_.add(host);
     machine.machineType = pool.machineType;
     machine.zone = pool.zone;
     machine.spot = pool.spot;
-    machine.rentedAt = context_.now;
-    machine.lastHeard = context_.now;
-    machine.lastDirect = context_.now;
-    machine.lastAnswered = context_.now;
+    machine.provisionedAt = context_.now;
+    machine.lastHeartbeatAt = context_.now;
+    machine.lastDirectContactAt = context_.now;
+    machine.leaseRenewedAt = context_.now;
     describe(machine);
   }
-  const std::set<std::string> gangs = std::exchange(gangRentals_[pool], {});
+  const std::set<std::string> gangs = std::exchange(gangScaleOuts_[pool], {});
   if (refused > 0) {
     for (const std::string& ref : gangs)
       if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open())
-        job->gang.rentalFellShort(context_.now);
+        job->gang.scaleOutFellShort(context_.now);
     refusedUntil_[pool] = context_.now + constants::kRefusedPause;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
@@ -43,38 +43,38 @@
   planDue_ = true;
 }
 
-void Leader::onReturned(const std::vector<std::string>& hosts) {
+void Leader::onInstancesReleased(const std::vector<std::string>& hosts) {
   for (const std::string& host : hosts) {
     Machine* machine = machines_.find(host);
     if (machine == nullptr) continue;
-    releaseAll(*machine, "machine gone");
-    machine->to(MachinePhase::gone, context_.now);
-    for (const std::uint32_t page : pages_.naming(host)) stalePages_.insert(page);
-    context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->returnReason}});
+    freeAllAttempts(*machine, "machine gone");
+    machine->to(MachinePhase::terminated, context_.now);
+    for (const std::uint32_t page : batches_.naming(host)) staleBatches_.insert(page);
+    context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
     // A placement whose outcome is still open finds nothing left to start, and that is right.
     for (Attempt& attempt : machine->attempts) release(*machine, attempt, "machine gone");
     machines_.remove(host);
-    returnedUntil_[host] = context_.now + constants::kReturnedMemory;
+    releasedUntil_[host] = context_.now + constants::kReleasedHostMemory;
   }
   planDue_ = true;
 }
 
-void Leader::onListed(const std::vector<wire::HostEntry>& hosts) {
-  std::erase_if(returnedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
+void Leader::onInstancesListed(const std::vector<wire::HostEntry>& hosts) {
+  std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const wire::HostEntry& entry : hosts) {
     Machine* machine = machines_.find(entry.ref.text);
     const double lagS = 2 * context_.settings.cloudListLagS;
     if (machine == nullptr) {
-      if (returnedUntil_.contains(entry.ref.text)) continue;
+      if (releasedUntil_.contains(entry.ref.text)) continue;
       Machine& stranger = machines_.add(entry.ref.text);
       stranger.machineType = entry.machineType;
       stranger.zone = entry.zone;
       stranger.spot = entry.spot;
       stranger.endpoint = entry.endpoint;
-      stranger.rentedAt = context_.now - wire::seconds(entry.ageS);
-      stranger.lastHeard = context_.now;
-      stranger.lastDirect = context_.now;
-      stranger.lastAnswered = electedAt_ + context_.settings.answerWindow();
+      stranger.provisionedAt = context_.now - wire::seconds(entry.ageS);
+      stranger.lastHeartbeatAt = context_.now;
+      stranger.lastDirectContactAt = context_.now;
+      stranger.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
       describe(stranger);
       // Nothing is placed on it, but an earlier leader had it up: it will report, and must not be taken for
       // one that never came up because of its age.
@@ -82,24 +82,24 @@
       machine = &stranger;
     }
     if (machine->endpoint.empty()) machine->endpoint = entry.endpoint;
-    if (entry.stage == wire::HostStage::failed && machine->phase != MachinePhase::returning &&
-        machine->phase != MachinePhase::gone) {
+    if (entry.stage == wire::HostStage::failed && machine->phase != MachinePhase::terminating &&
+        machine->phase != MachinePhase::terminated) {
       context_.event(Level::info, "machine_failed", {{"machine", entry.ref.text}});
-      releaseAll(*machine, "machine failed");
-      condemn(*machine, "failed");
+      freeAllAttempts(*machine, "machine failed");
+      decommission(*machine, "failed");
     } else if (machine->phase == MachinePhase::booting && entry.stage == wire::HostStage::running) {
       // Counted from when it was first said to run: one that came up late has only just begun to report.
       if (machine->listedUpAt == Time{}) machine->listedUpAt = context_.now;
       const auto silent = context_.now - std::max(machine->listedUpAt, listeningSince());
-      if (wire::toSeconds(silent) > lagS + 4 * context_.settings.reportS)
-        condemn(*machine, "listed as running but silent");
+      if (wire::toSeconds(silent) > lagS + 4 * context_.settings.heartbeatIntervalS)
+        decommission(*machine, "listed as running but silent");
     }
   }
 }
 
-void Leader::retire(Machine& machine, const char* why, bool gently) {
+void Leader::drain(Machine& machine, const char* why, bool gently) {
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
-  machine.returnReason = why;
+  machine.decommissionReason = why;
   machine.to(MachinePhase::draining, context_.now);
   context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
   for (Attempt& attempt : machine.attempts) {
@@ -112,10 +112,10 @@
   }
 }
 
-void Leader::condemn(Machine& machine, const char* why) {
-  if (machine.phase == MachinePhase::returning || machine.phase == MachinePhase::retiring) return;
-  machine.returnReason = why;
-  machine.to(MachinePhase::retiring, context_.now);
+void Leader::decommission(Machine& machine, const char* why) {
+  if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
+  machine.decommissionReason = why;
+  machine.to(MachinePhase::decommissioning, context_.now);
   context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
 }
 
@@ -128,43 +128,45 @@
 
 // What never comes up costs money until it is returned; where all boots are slow, giving up would throw away
 // what is about to come.
-void Leader::giveUpOnBoots() {
+void Leader::detectBootTimeouts() {
   // What was reported while nobody listened arrives first.
   if (context_.now - listeningSince() <
-      wire::seconds(context_.settings.reportS * constants::kGoneReports + 1))
+      wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1))
     return;
   const fleet::BootCohorts cohorts(allMachines());
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::booting) continue;
-    const auto age = context_.now - machine.rentedAt;
+    const auto age = context_.now - machine.provisionedAt;
     const auto patience =
         boots_.bootTimeout(machine.machineType, machine.zone, bootSecondsOf(machine), context_.now);
     if (age <= patience) continue;
     if (age <= constants::kBootAllSlow * patience && !cohorts.lagsCohort(machine)) continue;
     boots_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
-    condemn(machine, "never came up");
+    decommission(machine, "never came up");
   }
 }
 
-void Leader::moveRetirements() {
+void Leader::advanceDecommissioning() {
   if (context_.now >= nextBootCheck_) {
-    nextBootCheck_ = context_.now + constants::kShortfallEvery;
-    giveUpOnBoots();
+    nextBootCheck_ = context_.now + constants::kScaleOutEvery;
+    detectBootTimeouts();
   }
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
-      machine.to(MachinePhase::retiring, context_.now);
+      machine.to(MachinePhase::decommissioning, context_.now);
     } else if (machine.phase == MachinePhase::up && machine.spotNoticeAt && machine.attempts.empty()) {
-      retire(machine, "spot notice");
+      drain(machine, "spot notice");
     }
   }
 }
 
-std::vector<placement::UnplacedDemand> Leader::endangered() {
-  if (cuts_.selfPartitioned()) return {};
+std::vector<placement::UnplacedDemand> Leader::servicesAtRisk() {
+  if (partitionDetector_.selfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasks;
   for (const auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::up || !machine.unreachable || !cuts_.contains(machine.zone)) continue;
+    if (machine.phase != MachinePhase::up || !machine.unreachable ||
+        !partitionDetector_.contains(machine.zone))
+      continue;
     for (const Attempt& attempt : machine.attempts)
       if (holdsService(attempt)) ++tasks[attempt.task.job.text];
   }
@@ -176,9 +178,17 @@
 }
 
 fleet::FleetWorld Leader::fleetWorld() {
-  fleet::FleetWorld world{
-      context_.settings, *context_.catalog, context_.now, context_.wallMs, allMachines(), unmet_, {}, {},
-      cuts_.zones(),     endangered(),      boots_};
+  fleet::FleetWorld world{context_.settings,
+                          *context_.catalog,
+                          context_.now,
+                          context_.wallMs,
+                          allMachines(),
+                          unplaced_,
+                          {},
+                          {},
+                          partitionDetector_.zones(),
+                          servicesAtRisk(),
+                          boots_};
   std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
@@ -193,15 +203,15 @@
   return world;
 }
 
-void Leader::rent(const cloud::PoolKey& pool, int count, const char* why) {
+void Leader::requestInstances(const cloud::PoolKey& pool, int count, const char* why) {
   context_.event(Level::info, "rent", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
   cloud_->requestInstances(context_.now, pool, static_cast<std::size_t>(count));
 }
 
-void Leader::sizeFleet() {
-  if (!context_.catalog || !sure()) return;
+void Leader::autoscale() {
+  if (!context_.catalog || !holdsLeaderLease()) return;
   // The machines that are up make themselves known first; else a new leader would rent everything again.
-  const auto settle = wire::seconds(context_.settings.reportS * 1.5 + 1);
+  const auto settle = wire::seconds(context_.settings.heartbeatIntervalS * 1.5 + 1);
   if (context_.now - actingSince_ < settle && !machines_.all().empty()) return;
   if (sizing_.due(context_.now)) {
     const auto world = fleetWorld();
@@ -210,7 +220,7 @@
       context_.event(
           Level::info, "step",
           {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
-      if (step.machines > 0) rent(step.pool, step.machines, "step");
+      if (step.machines > 0) requestInstances(step.pool, step.machines, "step");
       int left = -step.machines;
       for (auto& [host, machine] : machines_.all()) {
         if (left <= 0) break;
@@ -218,25 +228,26 @@
         if (cloud::PoolKey{machine.machineType, machine.zone, machine.spot} != step.pool) continue;
         if (!spare.allowsRelease(machine)) break;
         spare.release(machine);
-        retire(machine, "step down");
+        drain(machine, "step down");
         --left;
       }
     }
   }
-  if (context_.now < nextShortfall_) return;
-  nextShortfall_ = context_.now + constants::kShortfallEvery;
+  if (context_.now < nextScaleOut_) return;
+  nextScaleOut_ = context_.now + constants::kScaleOutEvery;
   auto world = fleetWorld();
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForUnmetWork(world)) {
-    rent(rental.pool, rental.count, "shortfall");
-    for (const jobs::Job* gang : rental.gangs) gangRentals_[rental.pool].insert(gang->spec.ref.text);
+    requestInstances(rental.pool, rental.count, "shortfall");
+    for (const jobs::Job* gang : rental.gangs) gangScaleOuts_[rental.pool].insert(gang->spec.ref.text);
     world.pending[rental.pool] += static_cast<std::size_t>(rental.count);
   }
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForReserve(world))
-    rent(rental.pool, rental.count, "reserve");
-  for (Machine* machine : fleet::idleScaleIn(world)) retire(*machine, "idle");
-  if (context_.now < nextVacation_ || context_.now - actingSince_ < constants::kVacateAge) return;
-  nextVacation_ = context_.now + constants::kVacateEvery;
-  for (Machine* machine : fleet::consolidationScaleIn(world)) retire(*machine, "vacated", true);
+    requestInstances(rental.pool, rental.count, "reserve");
+  for (Machine* machine : fleet::idleScaleIn(world)) drain(*machine, "idle");
+  if (context_.now < nextConsolidation_ || context_.now - actingSince_ < constants::kConsolidateMinAge)
+    return;
+  nextConsolidation_ = context_.now + constants::kConsolidateEvery;
+  for (Machine* machine : fleet::consolidationScaleIn(world)) drain(*machine, "vacated", true);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -7,7 +7,7 @@
 namespace reachhoist::service {
 
 bool Leader::holdsService(const Attempt& attempt) {
-  return attempt.holdsRoom() && attempt.phase != AttemptPhase::planned && !attempt.stopWanted &&
+  return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopWanted &&
          attempt.priority >= wire::Priority::high;
 }
 
@@ -15,47 +15,51 @@
 // proves at once that they have ended, so where there is room they move now and not after the lease's
 // margins.
 // What has not been heard since the leader changed may have been cut off from the earlier one for long.
-void Leader::moveServices() {
-  if (cuts_.zones().empty() || cuts_.selfPartitioned()) return;
-  double room = 0;
+void Leader::moveServicesOffPartitions() {
+  if (partitionDetector_.zones().empty() || partitionDetector_.selfPartitioned()) return;
+  double capacity = 0;
   for (const auto& [host, machine] : machines_.all()) {
-    const bool reached = machine.phase == MachinePhase::up && machine.echoed && !machine.unreachable &&
-                         !machine.spotNoticeAt && !machine.spot;
-    if (reached) room += std::max(0.0, machine.room().vcpus);
+    const bool reached = machine.phase == MachinePhase::up && machine.tokenAcknowledged &&
+                         !machine.unreachable && !machine.spotNoticeAt && !machine.spot;
+    if (reached) capacity += std::max(0.0, machine.freeCapacity().vcpus);
     // On its way out already, its services will take of the same room.
-    if (machine.phase == MachinePhase::retiring || machine.phase == MachinePhase::returning)
+    if (machine.phase == MachinePhase::decommissioning || machine.phase == MachinePhase::terminating)
       for (const Attempt& attempt : machine.attempts)
-        if (holdsService(attempt)) room -= attempt.each.vcpus;
+        if (holdsService(attempt)) capacity -= attempt.each.vcpus;
   }
-  for (const placement::UnplacedDemand& unmet : unmet_)
-    if (unmet.job->spec.priority >= wire::Priority::high) room -= unmet.job->spec.each.vcpus * unmet.tasks;
+  for (const placement::UnplacedDemand& unmet : unplaced_)
+    if (unmet.job->spec.priority >= wire::Priority::high)
+      capacity -= unmet.job->spec.each.vcpus * unmet.tasks;
   const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kMoveAtLease);
-  const auto unheardFor = wire::seconds(context_.settings.reportS * constants::kGoneReports + 1);
+  const auto unheardFor =
+      wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
   for (auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::up || !machine.unreachable || !cuts_.contains(machine.zone) ||
-        context_.now - machine.lastHeard < (machine.sequence == 0 ? unheardFor : moveAfter))
+    if (machine.phase != MachinePhase::up || !machine.unreachable ||
+        !partitionDetector_.contains(machine.zone) ||
+        context_.now - machine.lastHeartbeatAt < (machine.sequence == 0 ? unheardFor : moveAfter))
       continue;
     double cpus = 0;
     for (const Attempt& attempt : machine.attempts)
       if (holdsService(attempt)) cpus += attempt.each.vcpus;
-    if (cpus == 0 || cpus > room) continue;
-    room -= cpus;
-    condemn(machine, "cut off");
+    if (cpus == 0 || cpus > capacity) continue;
+    capacity -= cpus;
+    decommission(machine, "cut off");
   }
 }
 
 // Neither workers nor siblings get through, or workers by way of siblings only: this controller reaches the
 // state service, but another serves better, and as long as this one leads the leases of all machines run out.
-bool Leader::handOver() {
-  if (context_.settings.siblings.empty() || resigned_ || !sure()) return false;
+bool Leader::transferLeadership() {
+  if (context_.settings.siblings.empty() || resigned_ || !holdsLeaderLease()) return false;
   const char* why = nullptr;
   const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kHeartbeatFresh;
   const bool siblingConfirmed = context_.now - context_.siblingConfirmedAt <= constants::kHeartbeatFresh;
-  if (cuts_.selfPartitionedFor(context_.now) > constants::kSelfCutPatience) {
+  if (partitionDetector_.selfPartitionedFor(context_.now) > constants::kSelfCutPatience) {
     why = "hears no workers";
-  } else if (siblingConfirmed && cuts_.unreachedFor(context_.now) > constants::kSelfCutPatience) {
+  } else if (siblingConfirmed &&
+             partitionDetector_.unreachedFor(context_.now) > constants::kSelfCutPatience) {
     why = "hears workers through siblings only";
-  } else if (siblingsSilent && cuts_.unheardFor(context_.now) > constants::kUnheardPatience &&
+  } else if (siblingsSilent && partitionDetector_.unheardFor(context_.now) > constants::kUnheardPatience &&
              context_.now - listeningSince() > constants::kUnheardPatience) {
     // Machines that are all dead would not come to the next leader either; siblings that are silent as well
     // tell a cut from that.
@@ -67,57 +71,57 @@
   return true;
 }
 
-void Leader::watchSilence() {
-  if (context_.now < nextSilenceCheck_ || !reconfirmed()) return;
+void Leader::detectFailures() {
+  if (context_.now < nextSilenceCheck_ || !confirmedSinceResume()) return;
   nextSilenceCheck_ = context_.now + constants::kTick * 10;
-  probeUnheard();
+  probeSilentWorkers();
   // Most machines of a zone quiet at once are more likely cut off than dead, and relay needs a while to find
   // its way: condemning them would throw away work that runs. Then only the lease decides, or, shortly before
   // it does, room for their services elsewhere.
-  cuts_.observe(machines_, context_.now);
+  partitionDetector_.observe(machines_, context_.now);
   const config::Settings& settings = context_.settings;
-  const auto silentFor = wire::seconds(settings.reportS * constants::kSilentReports + 2);
-  const auto probeAfter = wire::seconds(settings.reportS * constants::kProbeReports + 1);
-  const auto goneFor = wire::seconds(settings.reportS * constants::kGoneReports + 1);
-  const bool settled = context_.now - listeningSince() > silentFor && sure();
-  if (cuts_.mostlyIndirect()) sampleDirect();
-  if (handOver()) return;
-  judgeJobs();
+  const auto silentFor = wire::seconds(settings.heartbeatIntervalS * constants::kSilentHeartbeats + 2);
+  const auto probeAfter = wire::seconds(settings.heartbeatIntervalS * constants::kProbeHeartbeats + 1);
+  const auto goneFor = wire::seconds(settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
+  const bool settled = context_.now - listeningSince() > silentFor && holdsLeaderLease();
+  if (partitionDetector_.mostlyIndirect()) probeRelayedWorkers();
+  if (transferLeadership()) return;
+  reviewFaultyJobs();
   for (auto& [host, machine] : machines_.all()) {
-    if (machine.phase == MachinePhase::gone) continue;
-    judge(machine);
-    const bool over = context_.now - machine.lastAnswered > settings.leaseOver();
+    if (machine.phase == MachinePhase::terminated) continue;
+    quarantineIfFaulty(machine);
+    const bool over = context_.now - machine.leaseRenewedAt > settings.leaseOver();
     if (over && machine.phase != MachinePhase::booting &&
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& a) { return a.phase != AttemptPhase::planned; })) {
       context_.event(Level::info, "lease_over", {{"machine", host}});
-      releaseAll(machine, "lease over");
+      freeAllAttempts(machine, "lease over");
     }
     if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) continue;
-    const auto silent = context_.now - machine.lastHeard;
-    const bool cut = cuts_.doubtful(machine.zone);
-    if (settled && silent > silentFor && (over || !cut)) condemn(machine, "silent");
+    const auto silent = context_.now - machine.lastHeartbeatAt;
+    const bool cut = partitionDetector_.doubtful(machine.zone);
+    if (settled && silent > silentFor && (over || !cut)) decommission(machine, "silent");
     // Overdue and out of reach as well: no need to wait for a third report.
     if (settled && silent > probeAfter && !machine.probing && !machine.unreachable &&
         !machine.endpoint.empty() && commands_.mayCall()) {
       machine.probing = true;
-      inspect(machine);
+      probe(machine);
     }
-    if (settled && machine.unreachable && silent > goneFor && !cut) condemn(machine, "unreachable");
+    if (settled && machine.unreachable && silent > goneFor && !cut) decommission(machine, "unreachable");
     // It reports, but nothing that we send arrives: its lease has run out, and it is of no use to anybody.
-    const bool unacknowledged =
-        !machine.echoed && machine.unechoedSince != Time{} &&
-        context_.now - machine.unechoedSince > settings.leaseOver() + constants::kUnacknowledgedPatience;
+    const bool unacknowledged = !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
+                                context_.now - machine.unacknowledgedSince >
+                                    settings.leaseOver() + constants::kUnacknowledgedPatience;
     if (settled && unacknowledged && machine.phase == MachinePhase::up)
-      condemn(machine, "acknowledges nothing");
+      decommission(machine, "acknowledges nothing");
   }
-  if (context_.now - listeningSince() > goneFor && sure()) moveServices();
+  if (context_.now - listeningSince() > goneFor && holdsLeaderLease()) moveServicesOffPartitions();
 }
 
 // Workers that an earlier leader still answers would stay with it for as long as it believes itself entitled.
 // One that sees our token finds that leader's answers void and comes to us.
-void Leader::probeUnheard() {
-  if (context_.now - actingSince_ < constants::kProbeUnheardAfter || !sure()) return;
+void Leader::probeSilentWorkers() {
+  if (context_.now - actingSince_ < constants::kProbeUnheardAfter || !holdsLeaderLease()) return;
   unsigned left = std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / 4);
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
@@ -125,28 +129,29 @@
       continue;
     if (left-- == 0 || !commands_.mayCall()) return;
     machine.probedUnheard = true;
-    inspect(machine);
+    probe(machine);
   }
 }
 
 // Workers that siblings pass on may be within reach all the same: those that answer show that this controller
 // is not cut off.
-void Leader::sampleDirect() {
+void Leader::probeRelayedWorkers() {
   std::size_t asked = 0;
-  const auto overdue = wire::seconds(context_.settings.reportS * constants::kQuietReports + 0.5);
+  const auto overdue =
+      wire::seconds(context_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
   for (auto& [host, machine] : machines_.all()) {
     if (asked == constants::kDirectSamples || !commands_.mayCall()) return;
-    const bool relayed =
-        context_.now - machine.lastHeard <= overdue && context_.now - machine.lastDirect > overdue;
+    const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
+                         context_.now - machine.lastDirectContactAt > overdue;
     if (machine.phase != MachinePhase::up || !relayed || machine.probing || machine.endpoint.empty())
       continue;
     machine.probing = true;
-    inspect(machine);
+    probe(machine);
     ++asked;
   }
 }
 
-void Leader::inspect(Machine& machine) {
+void Leader::probe(Machine& machine) {
   commands_.callBegins();
   wire::Call call;
   call.to = wire::Service::worker;
@@ -162,19 +167,19 @@
     if (known == nullptr) return;
     known->probing = false;
     if (result.status == 0) known->unreachable = true;
-    auto report = wire::decodeReport(result.body);
-    if (!result.ok() || !report || report->host.text != host) return;
-    takeEvidence(*known, *report, Source::direct);
+    auto heartbeat = wire::decodeHeartbeat(result.body);
+    if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
+    applyHeartbeat(*known, *heartbeat, Source::direct);
     known->unreachable = false;
     // An empty command brings the token.
-    if (!known->echoed) commands_.markDue(*known);
+    if (!known->tokenAcknowledged) commands_.markDue(*known);
   });
 }
 
-void Leader::useNotice(Machine& machine) {
+void Leader::onSpotNotice(Machine& machine) {
   const double leftS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
   for (Attempt& attempt : machine.attempts) {
-    if (!attempt.holdsRoom() || attempt.phase == AttemptPhase::planned) continue;
+    if (!attempt.holdsCapacity() || attempt.phase == AttemptPhase::planned) continue;
     const jobs::Job* job = jobs_.find(attempt.task.job.text);
     const double expectS = job != nullptr ? job->spec.expectS : 0;
     const double ranS =
--- a/src/service/leader_gangs.cpp
+++ b/src/service/leader_gangs.cpp
@@ -14,7 +14,7 @@
       if (attempt.task.job.text == ref) visit(machine, attempt);
 }
 
-void Leader::toGang(jobs::Job& job, GangState next, const char* why) {
+void Leader::setGangState(jobs::Job& job, GangState next, const char* why) {
   if (job.gang.phase == next) return;
   context_.event(Level::info, "gang",
                  {{"job", job.spec.ref.text},
@@ -25,7 +25,7 @@
 }
 
 // What an earlier leader left. A whole attempt may be running; part of one can't be completed by anybody.
-void Leader::adoptGangs() {
+void Leader::adoptGangAttempts() {
   std::map<std::string, std::set<std::uint32_t>> tasks;  // of the latest attempt
   for (auto& [host, machine] : machines_.all()) {
     for (const Attempt& attempt : machine.attempts) {
@@ -39,7 +39,7 @@
   for (auto& [ref, found] : tasks) {
     jobs::Job& job = *jobs_.find(ref);
     const bool whole = found.size() == job.spec.taskCount;
-    toGang(job, whole ? GangState::gathering : GangState::clearing, "adopted");
+    setGangState(job, whole ? GangState::gathering : GangState::clearing, "adopted");
     forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
       if (!whole || attempt.number != job.gang.number) commands_.stop(machine, attempt, 0);
     });
@@ -53,15 +53,15 @@
 }
 
 // Places that found no page in the round of their decision.
-void Leader::reserveRest(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
-                         std::set<std::string>& hosts) {
+void Leader::reserveRemainingGangTasks(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
+                                       std::set<std::string>& hosts) {
   if (reserving_.empty()) return;
-  pages_.weigh(machines_);
+  batches_.recountBytes(machines_);
   for (auto at = reserving_.begin(); at != reserving_.end();) {
     const std::string ref = *at;
     bool more = false;
     forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-      if (attempt.phase != AttemptPhase::planned || attempt.paged) return;
+      if (attempt.phase != AttemptPhase::planned || attempt.batch) return;
       if (attempt.stopWanted || machine.phase != MachinePhase::up) {
         release(machine, attempt, "not placed");
         machine.recordBusy =
@@ -69,8 +69,8 @@
                         [](const Attempt& other) { return other.phase == AttemptPhase::planned; });
         return;
       }
-      attempt.paged = pages_.place(machine, attempt, pages, constants::kPagesPerRound);
-      if (!attempt.paged) {
+      attempt.batch = batches_.place(machine, attempt, pages, constants::kBatchesPerRound);
+      if (!attempt.batch) {
         more = true;
         return;
       }
@@ -82,18 +82,18 @@
   }
 }
 
-void Leader::gangWritten(jobs::Job& job) {
+void Leader::onGangRecorded(jobs::Job& job) {
   if (job.gang.phase != GangState::reserving) return;
   std::uint32_t recorded = 0;
   forEachAttempt(job.spec.ref.text, [&](Machine&, Attempt& attempt) {
     if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::recorded) ++recorded;
   });
   if (recorded < job.spec.taskCount) return;
-  toGang(job, GangState::gathering, "all places are durable");
+  setGangState(job, GangState::gathering, "all places are durable");
   forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt&) { commands_.markDue(machine); });
 }
 
-void Leader::gangRuns(jobs::Job& job) {
+void Leader::onGangTaskRunning(jobs::Job& job) {
   if (job.gang.phase != GangState::gathering || job.running < job.spec.taskCount) return;
   // Tasks that linger of an earlier attempt, or save already, are no evidence that this one runs.
   std::uint32_t run = 0;
@@ -102,21 +102,21 @@
   });
   if (run < job.spec.taskCount) return;
   job.gang.failures = 0;
-  toGang(job, GangState::running, "all tasks run");
+  setGangState(job, GangState::running, "all tasks run");
 }
 
 // A task of the present attempt has ended without being done, or is gone: the rest can't go on.
-void Leader::gangLost(jobs::Job& job, const Attempt& attempt, const char* why) {
+void Leader::onGangTaskLost(jobs::Job& job, const Attempt& attempt, const char* why) {
   if (!job.isGang() || !job.open() || attempt.number != job.gang.number) return;
   const GangState phase = job.gang.phase;
   if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
-  toGang(job, GangState::clearing, why);
+  setGangState(job, GangState::clearing, why);
   ++job.gang.failures;
   const auto pause = constants::kGangRetry * (1 << std::min(job.gang.failures - 1, 6));
-  job.heldUntil = std::max(
-      job.heldUntil, context_.now + std::min<std::chrono::milliseconds>(pause, constants::kGangRetryMost));
+  job.backoffUntil = std::max(
+      job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(pause, constants::kGangRetryMost));
   forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt& other) {
-    if (other.holdsRoom()) commands_.stop(machine, other, 0);
+    if (other.holdsCapacity()) commands_.stop(machine, other, 0);
   });
 }
 
@@ -128,16 +128,16 @@
   if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
   const double graceS = job->spec.checkpointS + 1;
   const bool saves = phase == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
-  toGang(*job, GangState::stopping, why);
+  setGangState(*job, GangState::stopping, why);
   forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-    if (attempt.holdsRoom()) commands_.stop(machine, attempt, saves ? graceS : 0);
+    if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? graceS : 0);
   });
 }
 
 // They complete together: one task done means all are, and nothing is run again for the sake of tasks whose
 // machines have vanished meanwhile.
 void Leader::completeGang(jobs::Job& job) {
-  toGang(job, GangState::done, "a task is done");
+  setGangState(job, GangState::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
     job.to(index, jobs::TaskPhase::completed, context_.now);
   records_.finished(job.spec.ref.text);
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -6,7 +6,7 @@
 
 namespace reachhoist::service {
 
-void Leader::refusedBy(const state::Outcome& outcome, const char* what) {
+void Leader::onTransactionRefused(const state::Outcome& outcome, const char* what) {
   for (const std::string& key : outcome.failed) {
     if (key.starts_with("jobs/")) {
       jobFeed_.confirm(context_.now, [](bool) {});
@@ -20,7 +20,7 @@
   }
 }
 
-void Leader::forgetsDue() {
+void Leader::scheduleForgetCommands() {
   for (auto& [host, machine] : machines_.all()) {
     const bool forgettable = std::any_of(machine.attempts.begin(), machine.attempts.end(),
                                          [](const Attempt& a) { return a.phase == AttemptPhase::ended; });
@@ -34,7 +34,7 @@
 std::vector<Machine*> Leader::allMachines() {
   std::vector<Machine*> out;
   for (auto& [host, machine] : machines_.all())
-    if (machine.phase != MachinePhase::gone) out.push_back(&machine);
+    if (machine.phase != MachinePhase::terminated) out.push_back(&machine);
   return out;
 }
 
@@ -46,71 +46,71 @@
                          {},
                          {},
                          {},
-                         4 * ops - constants::kPagesPerRound - partStamps_.size()};
+                         4 * ops - constants::kBatchesPerRound - partitionRevisions_.size()};
   for (const std::string& ref : jobs_.open()) {
     jobs::Job* job = jobs_.find(ref);
     world.open.push_back(job);
     if (job->waiting > 0) world.jobs.push_back(job);
   }
-  shares_.prepare(world, mayReclaim());
+  shares_.prepare(world, mayPreemptForShares());
   if (world.jobs.empty()) {
-    unmet_.clear();
+    unplaced_.clear();
     return {};
   }
   world.machines = allMachines();
   placement::Plan plan = placement::plan(world);
   shares_.planned(plan);
-  unmet_ = std::move(plan.unplaced);
+  unplaced_ = std::move(plan.unplaced);
   // What waits is looked at again when something has changed, or when time alone may have changed it.
   nextPlan_ = context_.now + (plan.assignments.empty() && plan.stops.empty() ? constants::kIdleRoundGap
                                                                              : constants::kRoundGap);
   replanAt_ = context_.now + constants::kReplanEvery;
-  for (const placement::Stop& order : plan.stops) {
-    if (Attempt* attempt = order.machine->find(order.task, order.attempt)) {
+  for (const placement::Stop& command : plan.stops) {
+    if (Attempt* attempt = command.machine->find(command.task, command.attempt)) {
       context_.event(Level::info, "preempt",
-                     {{"task", order.task.str()}, {"machine", order.machine->host.text}});
+                     {{"task", command.task.str()}, {"machine", command.machine->host.text}});
       if (attempt->gang) {
         stopGang(attempt->task.job.text, constants::kNoHurryS, "preempted");
       } else {
-        commands_.stop(*order.machine, *attempt, order.graceS);
+        commands_.stop(*command.machine, *attempt, command.graceS);
       }
     }
   }
   return plan;
 }
 
-bool Leader::mayReclaim() const {
+bool Leader::mayPreemptForShares() const {
   // A new leader first hears what runs: until then all tasks look freshly started, and those that an earlier
   // leader has stopped look as if they went on.
-  const auto settle = wire::seconds(context_.settings.reportS * 1.5 + 1);
-  return context_.now - actingSince_ >= settle && sure();
+  const auto settle = wire::seconds(context_.settings.heartbeatIntervalS * 1.5 + 1);
+  return context_.now - actingSince_ >= settle && holdsLeaderLease();
 }
 
 std::set<std::string> Leader::takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
                                               std::set<std::string>& jobs) {
   std::set<std::string> hosts;
   if (plan.assignments.empty()) return hosts;
-  pages_.weigh(machines_);
+  batches_.recountBytes(machines_);
   for (const placement::Assignment& assignment : plan.assignments) {
     const wire::JobSpec& spec = assignment.job->spec;
     Attempt attempt;
     attempt.task = wire::TaskId{spec.ref, assignment.index};
-    attempt.paged = pages_.place(*assignment.machine, attempt, pages, constants::kPagesPerRound);
+    attempt.batch = batches_.place(*assignment.machine, attempt, pages, constants::kBatchesPerRound);
     jobs::Gang& gang = assignment.job->gang;
     attempt.gang = assignment.job->isGang();
     const bool begun = attempt.gang && gang.phase == jobs::GangState::reserving;
-    if (!attempt.paged && !begun) {
+    if (!attempt.batch && !begun) {
       planDue_ = true;  // the rest goes with the next round
       break;
     }
     // A gang's places are taken in one decision, though they may need several transactions.
-    if (!attempt.paged) reserving_.insert(spec.ref.text);
+    if (!attempt.batch) reserving_.insert(spec.ref.text);
     // Unique for ever: no later life or leader gives the same number. A gang's tasks share theirs.
     attempt.number = begun ? gang.number : cluster::token(term_, ++attempts_);
     if (attempt.gang && !begun) {
       gang.number = attempt.number;
-      gang.shortRentals = 0;
-      toGang(*assignment.job, jobs::GangState::reserving, "room for all");
+      gang.partialScaleOuts = 0;
+      setGangState(*assignment.job, jobs::GangState::reserving, "room for all");
     }
     attempt.each = spec.each;
     attempt.team = spec.team;
@@ -124,7 +124,7 @@
     assignment.machine->attempts.push_back(std::move(attempt));
     assignment.machine->recordBusy = true;
     assignment.job->to(assignment.index, jobs::TaskPhase::placed, context_.now);
-    if (!assignment.machine->attempts.back().paged) continue;
+    if (!assignment.machine->attempts.back().batch) continue;
     hosts.insert(assignment.machine->host.text);
     jobs.insert(spec.ref.text);
   }
@@ -136,49 +136,49 @@
   std::set<std::uint32_t> pages;
   std::set<std::string> jobs;
   std::set<std::string> hosts;
-  reserveRest(pages, jobs, hosts);
+  reserveRemainingGangTasks(pages, jobs, hosts);
   if (pages.empty() && (planDue_ || context_.now >= replanAt_) && context_.now >= nextPlan_ &&
       context_.catalog) {
     planDue_ = false;
     hosts = takeAssignments(planRound(), pages, jobs);
   }
   // Pages that name machines which are gone are written anew along with others, or by themselves in the end.
-  if (!stalePages_.empty() && (!pages.empty() || context_.now >= nextClean_)) {
-    pages_.weigh(machines_);
-    for (auto at = stalePages_.begin();
-         at != stalePages_.end() && pages.size() < constants::kPagesPerRound;) {
-      if (!pages.contains(*at) && !pages_.shrink(machines_, *at, pages, constants::kPagesPerRound)) {
+  if (!staleBatches_.empty() && (!pages.empty() || context_.now >= nextClean_)) {
+    batches_.recountBytes(machines_);
+    for (auto at = staleBatches_.begin();
+         at != staleBatches_.end() && pages.size() < constants::kBatchesPerRound;) {
+      if (!pages.contains(*at) && !batches_.shrink(machines_, *at, pages, constants::kBatchesPerRound)) {
         ++at;  // what has moved off it is written first
         continue;
       }
       pages.insert(*at);
-      at = stalePages_.erase(at);
+      at = staleBatches_.erase(at);
     }
   }
   if (pages.empty()) return;
   nextClean_ = context_.now + constants::kCleanEvery;
   state::Transaction transaction;
-  PageNames names;
-  for (auto& [number, value] : pages_.encode(machines_, pages)) {
+  BatchHosts names;
+  for (auto& [number, value] : batches_.encode(machines_, pages)) {
     for (const auto& [host, entry] : value["hosts"].items()) names[number].insert(host);
     names.try_emplace(number);
-    transaction.conditions.push_back({machines::placementBatchKey(number), pages_.stamp(number)});
+    transaction.conditions.push_back({machines::placementBatchKey(number), batches_.revision(number)});
     transaction.writes.push_back({machines::placementBatchKey(number), std::move(value), std::nullopt});
   }
   for (const std::string& ref : jobs)
-    transaction.conditions.push_back({jobs::jobKey(ref), jobs_.find(ref)->stamp});
-  for (auto& condition : partConditions()) transaction.conditions.push_back(std::move(condition));
+    transaction.conditions.push_back({jobs::jobKey(ref), jobs_.find(ref)->revision});
+  for (auto& condition : partitionConditions()) transaction.conditions.push_back(std::move(condition));
   placements_.commit(
       context_.now, state::Urgency::place, std::move(transaction),
       [this, hosts, names](const state::Outcome& outcome) { onPlacements(hosts, names, outcome); });
 }
 
-void Leader::onPlacements(const std::set<std::string>& hosts, const PageNames& pages,
+void Leader::onPlacements(const std::set<std::string>& hosts, const BatchHosts& pages,
                           const state::Outcome& outcome) {
   planDue_ = true;
   const bool applied = outcome.verdict == state::Verdict::applied;
   if (applied)
-    for (const auto& [page, named] : pages) pages_.written(page, outcome.stamp, named);
+    for (const auto& [page, named] : pages) batches_.written(page, outcome.revision, named);
   std::set<std::string> gangs;
   for (const std::string& host : hosts) {
     Machine* machine = machines_.find(host);
@@ -186,7 +186,7 @@
     machine->recordBusy = false;
     for (Attempt& attempt : machine->attempts) {
       if (attempt.phase != AttemptPhase::planned) continue;
-      if (!attempt.paged || !pages.contains(*attempt.paged)) {
+      if (!attempt.batch || !pages.contains(*attempt.batch)) {
         machine->recordBusy = true;  // a place of a gang whose turn is the next transaction
         continue;
       }
@@ -202,54 +202,54 @@
         release(*machine, attempt, "not placed");
       }
     }
-    dropFree(*machine);
+    eraseFreedAttempts(*machine);
     if (!machine->empty()) machine->idleSince = context_.now;
   }
   for (const std::string& ref : gangs)
-    if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open()) gangWritten(*job);
-  if (!applied) refusedBy(outcome, "placements");
+    if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open()) onGangRecorded(*job);
+  if (!applied) onTransactionRefused(outcome, "placements");
 }
 
 // --- machines that go --------------------------------------------------------------------------------------
 
 // A lane of its own, as urgent as placements: until its return a machine is paid for, and what it held waits.
-void Leader::retiringRound() {
-  if (retiring_.busy()) return;
+void Leader::writeDecommissioning() {
+  if (decommissioning_.busy()) return;
   std::vector<std::string> retiring;
   // One key names every machine that is being returned; those that are gone leave it with its next writing.
   Json names = Json::array();
   std::size_t bytes = 0;
   const auto fits = [&](const std::string& host) {
     bytes += host.size() + 3;
-    return bytes < valueRoom_;
+    return bytes < maxValueBytes_;
   };
   for (const auto& [host, machine] : machines_.all())
-    if (machine.phase == MachinePhase::returning && fits(host)) names.push_back(host);
+    if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
   for (auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::retiring || machine.recordBusy || !fits(host)) continue;
+    if (machine.phase != MachinePhase::decommissioning || machine.recordBusy || !fits(host)) continue;
     machine.recordBusy = true;
     names.push_back(host);
     retiring.push_back(host);
   }
   if (retiring.empty()) return;
   state::Transaction transaction;
-  transaction.conditions = partConditions();
-  transaction.conditions.push_back({kRetiringKey, retiringStamp_});
-  transaction.writes.push_back({kRetiringKey, Json{{"hosts", std::move(names)}}, std::nullopt});
-  retiring_.commit(context_.now, state::Urgency::place, std::move(transaction),
-                   [this, retiring](const state::Outcome& outcome) {
-                     const bool applied = outcome.verdict == state::Verdict::applied;
-                     if (applied) retiringStamp_ = outcome.stamp;
-                     for (const std::string& host : retiring) {
-                       Machine* machine = machines_.find(host);
-                       if (machine == nullptr) continue;
-                       machine->recordBusy = false;
-                       if (!applied) continue;
-                       machine->to(MachinePhase::returning, context_.now);
-                       cloud_->release(context_.now, host);
-                     }
-                     if (!applied) refusedBy(outcome, "retiring");
-                   });
+  transaction.conditions = partitionConditions();
+  transaction.conditions.push_back({kDecommissioningKey, decommissioningRevision_});
+  transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(names)}}, std::nullopt});
+  decommissioning_.commit(context_.now, state::Urgency::place, std::move(transaction),
+                          [this, retiring](const state::Outcome& outcome) {
+                            const bool applied = outcome.verdict == state::Verdict::applied;
+                            if (applied) decommissioningRevision_ = outcome.revision;
+                            for (const std::string& host : retiring) {
+                              Machine* machine = machines_.find(host);
+                              if (machine == nullptr) continue;
+                              machine->recordBusy = false;
+                              if (!applied) continue;
+                              machine->to(MachinePhase::terminating, context_.now);
+                              cloud_->release(context_.now, host);
+                            }
+                            if (!applied) onTransactionRefused(outcome, "retiring");
+                          });
 }
 
 }  // namespace reachhoist::service
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -19,11 +19,11 @@
 }
 
 PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
-  const auto overdue = wire::seconds(settings_.reportS * constants::kQuietReports + 0.5);
+  const auto overdue = wire::seconds(settings_.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
   Count out;
   out.up = 1;
-  out.quiet = now - machine.lastHeard > overdue ? 1 : 0;
-  out.indirect = out.quiet != 0 || now - machine.lastDirect > overdue ? 1 : 0;
+  out.quiet = now - machine.lastHeartbeatAt > overdue ? 1 : 0;
+  out.indirect = out.quiet != 0 || now - machine.lastDirectContactAt > overdue ? 1 : 0;
   out.heard = machine.sequence != 0 ? 1 : 0;
   return out;
 }
@@ -55,7 +55,7 @@
   }
   // A cut silences all of a zone within a report interval. It is believed for a while, since relay brings its
   // machines back one by one.
-  const auto believed = wire::seconds(settings_.reportS * constants::kGoneReports);
+  const auto believed = wire::seconds(settings_.heartbeatIntervalS * constants::kGoneHeartbeats);
   doubtful_.clear();
   for (const auto& [zone, count] : zones) {
     if (count.quiet > 1 && count.quiet > count.up * constants::kCutShare) until_[zone] = now + believed;
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -11,7 +11,7 @@
 SharesFollower::SharesFollower(Context& context)
     : context_(context),
       watch_(context.state, shares::kTableKey,
-             [this](const Json* value, std::uint64_t stamp) { onRecord(value, stamp); }) {
+             [this](const Json* value, std::uint64_t revision) { onRecord(value, revision); }) {
   // Checked when the settings were read; should it fail here, the stored table still counts.
   if (const auto problem = shares::fromOperators(context_.settings, own_)) refuse(*problem);
 }
@@ -28,10 +28,10 @@
                   {"kept_generation", context_.shares ? context_.shares->generation : 0}});
 }
 
-void SharesFollower::onRecord(const Json* value, std::uint64_t stamp) {
-  stamp_ = stamp;
+void SharesFollower::onRecord(const Json* value, std::uint64_t revision) {
+  revision_ = revision;
   if (value == nullptr) {
-    stored_ = 0;
+    storedGeneration_ = 0;
     if (context_.shares) own_ = *context_.shares;  // removed by somebody: what is in force is stored again
     return;
   }
@@ -39,10 +39,10 @@
   auto problem = shares::decode(*value, table);
   // Whatever it is, it is not overwritten: an operator has to look at it.
   if (problem) {
-    stored_ = std::numeric_limits<std::uint64_t>::max();
+    storedGeneration_ = std::numeric_limits<std::uint64_t>::max();
     return refuse(*problem);
   }
-  stored_ = table.generation;
+  storedGeneration_ = table.generation;
   if (!problem) problem = shares::check(table, context_.settings);
   if (!problem && context_.shares && table.generation < context_.shares->generation)
     problem = config::Problem{"generation", "is lower than that of the table in force"};
@@ -53,11 +53,12 @@
 }
 
 void SharesFollower::writeOwn() {
-  if (!stored_ || *stored_ >= own_.generation || writing_ || context_.now < retryAt_) return;
+  if (!storedGeneration_ || *storedGeneration_ >= own_.generation || writing_ || context_.now < retryAt_)
+    return;
   retryAt_ = context_.now + constants::kShareWriteRetry;
   writing_ = true;
   state::Transaction transaction;
-  transaction.conditions.push_back({shares::kTableKey, stamp_});
+  transaction.conditions.push_back({shares::kTableKey, revision_});
   transaction.writes.push_back({shares::kTableKey, shares::encode(own_), std::nullopt});
   // Whether it was carried out shows in the watch.
   context_.state.multi(context_.now, state::Urgency::rest, transaction,
@@ -66,11 +67,11 @@
                        });
 }
 
-void SharesInRounds::prepare(placement::World& world, bool mayReclaim) {
+void SharesInRounds::prepare(placement::World& world, bool mayPreemptForShares) {
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   world.shares = &*context_.shares;
-  world.mayPreemptForShares = mayReclaim && context_.now >= nextReclaim_;
+  world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextReclaim_;
 }
 
 void SharesInRounds::planned(const placement::Plan& plan) {
@@ -106,9 +107,9 @@
   return Json{{"generation", table.generation}, {"groups", std::move(groups)}};
 }
 
-void SharesInRounds::tick(machines::MachineTable& machines, jobs::JobTable& jobs, bool sure,
+void SharesInRounds::tick(machines::MachineTable& machines, jobs::JobTable& jobs, bool holdsLeaderLease,
                           const Conditions& conditions) {
-  if (!context_.shares || !sure || context_.now < nextStatus_) return;
+  if (!context_.shares || !holdsLeaderLease || context_.now < nextStatus_) return;
   nextStatus_ = context_.now + constants::kShareStatusEvery;
   Json now = status(machines, jobs);
   if (now == written_) return;
--- a/src/service/shares.hpp
+++ b/src/service/shares.hpp
@@ -22,15 +22,16 @@
   void tick(bool leads);
 
  private:
-  void onRecord(const Json* value, std::uint64_t stamp);
+  void onRecord(const Json* value, std::uint64_t revision);
   void refuse(const config::Problem& problem);
   void writeOwn();
 
   Context& context_;
   shares::Table own_;  // of the operators' file
   state::KeyWatch watch_;
-  std::optional<std::uint64_t> stored_;  // generation of the stored table, 0 for none; unset: not known yet
-  std::uint64_t stamp_ = 0;
+  std::optional<std::uint64_t>
+      storedGeneration_;  // generation of the stored table, 0 for none; unset: not known yet
+  std::uint64_t revision_ = 0;
   bool writing_ = false;
   Time retryAt_{};
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
@@ -45,13 +46,14 @@
   explicit SharesInRounds(Context& context) : context_(context) {}
 
   // Before a round: the table, and whether the round may stop work for its sake.
-  void prepare(placement::World& world, bool mayReclaim);
+  void prepare(placement::World& world, bool mayPreemptForShares);
   // After it.
   void planned(const placement::Plan& plan);
   // A table is in force that no round has divided by.
   bool tableChanged() const { return context_.shares && context_.shares->generation != generation_; }
   // Writes the status now and then, if it has changed and the lead is confirmed.
-  void tick(machines::MachineTable& machines, jobs::JobTable& jobs, bool sure, const Conditions& conditions);
+  void tick(machines::MachineTable& machines, jobs::JobTable& jobs, bool holdsLeaderLease,
+            const Conditions& conditions);
 
  private:
   Json status(machines::MachineTable& machines, jobs::JobTable& jobs) const;
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -23,7 +23,7 @@
 }
 
 void WorkerCommands::markDue(Machine& machine) {
-  machine.ordersDue = true;
+  machine.commandsDue = true;
   due_.insert(machine.host.text);
 }
 
@@ -31,25 +31,26 @@
   // Once is enough until the worker has been seen with it.
   if (machine.workerToken < fencingTokenOf(machine)) return;
   ++machine.fencingSequence;
-  machine.echoed = false;
-  machine.unechoedSince = context_.now;
+  machine.tokenAcknowledged = false;
+  machine.unacknowledgedSince = context_.now;
 }
 
-void WorkerCommands::noteEcho(Machine& machine) {
-  if (machine.echoed || machine.workerToken < fencingTokenOf(machine)) {
-    if (!machine.echoed && machine.unechoedSince == Time{}) machine.unechoedSince = context_.now;
+void WorkerCommands::noteAcknowledgedToken(Machine& machine) {
+  if (machine.tokenAcknowledged || machine.workerToken < fencingTokenOf(machine)) {
+    if (!machine.tokenAcknowledged && machine.unacknowledgedSince == Time{})
+      machine.unacknowledgedSince = context_.now;
     return;
   }
-  machine.echoed = true;
-  machine.unechoedSince = Time{};
-  hooks_.echoed();
+  machine.tokenAcknowledged = true;
+  machine.unacknowledgedSince = Time{};
+  hooks_.tokenAcknowledged();
 }
 
-std::vector<wire::Order> WorkerCommands::ordersFor(Machine& machine, Source via, std::uint64_t sequence) {
-  std::vector<wire::Order> forgets;
-  std::vector<wire::Order> rest;
+std::vector<wire::Command> WorkerCommands::commandsFor(Machine& machine, Source via, std::uint64_t sequence) {
+  std::vector<wire::Command> forgets;
+  std::vector<wire::Command> rest;
   for (Attempt& attempt : machine.attempts) {
-    wire::Order order{wire::Verb::start, attempt.task, attempt.number, 0};
+    wire::Command command{wire::CommandVerb::start, attempt.task, attempt.number, 0};
     switch (attempt.phase) {
       case AttemptPhase::planned:
       case AttemptPhase::free:
@@ -58,12 +59,14 @@
         // Never repeated for what may have ended and been forgotten under an earlier leader.
         if (attempt.inherited && !attempt.stopWanted) break;
         if (attempt.stopWanted) {
-          order.verb = wire::Verb::stop;
-          rest.push_back(order);
-        } else if (attempt.directs == 0 && hooks_.sure() && (!attempt.gang || hooks_.mayStartGang(attempt))) {
+          command.verb = wire::CommandVerb::stop;
+          rest.push_back(command);
+        } else if (attempt.directCommandsInFlight == 0 && hooks_.holdsLeaderLease() &&
+                   (!attempt.gang || hooks_.mayStartGang(attempt))) {
           // Nothing is begun on old news: another controller may have confirmed the job's cancellation since.
-          if (via != Source::direct && attempt.answeredAt == 0) attempt.answeredAt = sequence;
-          rest.push_back(order);
+          if (via != Source::direct && attempt.startSentInSequence == 0)
+            attempt.startSentInSequence = sequence;
+          rest.push_back(command);
         }
         break;
       case AttemptPhase::pulling:
@@ -72,18 +75,18 @@
         if (!attempt.stopWanted) break;
         if (attempt.stopSent && via == Source::direct) break;
         if (attempt.phase == AttemptPhase::saving && attempt.graceS > 0) break;
-        order.verb = wire::Verb::stop;
-        order.graceS = attempt.graceS;
+        command.verb = wire::CommandVerb::stop;
+        command.graceS = attempt.graceS;
         attempt.stopSent = true;
-        rest.push_back(order);
+        rest.push_back(command);
         break;
       case AttemptPhase::ended:
         // A start that may still arrive would start the attempt anew once the worker has forgotten it.
-        if (attempt.directs > 0 || attempt.openToken) break;
+        if (attempt.directCommandsInFlight > 0 || attempt.unresolvedStartToken) break;
         if (attempt.cause == wire::Cause::done && !attempt.isService && !hooks_.isDurable(attempt.task))
           break;
-        order.verb = wire::Verb::forget;
-        forgets.push_back(order);
+        command.verb = wire::CommandVerb::forget;
+        forgets.push_back(command);
         break;
     }
   }
@@ -93,28 +96,30 @@
 
 bool WorkerCommands::mayCall() const { return calls_ < context_.settings.workerCallsMost(); }
 
-void WorkerCommands::sendDirects() {
+void WorkerCommands::sendDirectCommands() {
   // The rest waits for sockets: machines that don't answer hold theirs for up to the time limit.
   for (auto at = due_.begin(); at != due_.end() && mayCall();) {
     Machine* machine = machines_.find(*at);
-    if (machine != nullptr && machine->ordersDue && (machine->direct || context_.now < machine->nextDirect)) {
+    if (machine != nullptr && machine->commandsDue &&
+        (machine->directCommandInFlight || context_.now < machine->nextDirectAt)) {
       ++at;
       continue;
     }
-    if (machine != nullptr && machine->ordersDue) sendDirect(*machine);
+    if (machine != nullptr && machine->commandsDue) sendDirectCommand(*machine);
     at = due_.erase(at);
   }
 }
 
-void WorkerCommands::sendDirect(Machine& machine) {
-  machine.ordersDue = false;
-  if (machine.endpoint.empty() || machine.session == 0 || !hooks_.mayAnswer()) return;
+void WorkerCommands::sendDirectCommand(Machine& machine) {
+  machine.commandsDue = false;
+  if (machine.endpoint.empty() || machine.incarnation == 0 || !hooks_.mayRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
-  const auto orders = ordersFor(machine, Source::direct, 0);
-  if (orders.empty() && (machine.echoed || !machine.probedUnheard)) return;
-  for (const wire::Order& order : orders)
-    if (order.verb == wire::Verb::start) ++machine.find(order.task, order.attempt)->directs;
-  machine.direct = true;
+  const auto commands = commandsFor(machine, Source::direct, 0);
+  if (commands.empty() && (machine.tokenAcknowledged || !machine.probedUnheard)) return;
+  for (const wire::Command& command : commands)
+    if (command.verb == wire::CommandVerb::start)
+      ++machine.find(command.task, command.attempt)->directCommandsInFlight;
+  machine.directCommandInFlight = true;
   ++calls_;
   wire::Call call;
   call.to = wire::Service::worker;
@@ -122,45 +127,48 @@
   call.method = "POST";
   call.path = "/commands";
   const std::uint64_t token = fencingTokenOf(machine);
-  call.body = wire::encodeOrders(token, orders);
-  call.body["shift"] = machine.session;
+  call.body = wire::encodeCommands(token, commands);
+  call.body["shift"] = machine.incarnation;
   call.timeout = constants::kWorkerTimeout;
   context_.calls.start(std::move(call),
-                       [this, host = machine.host.text, token, session = machine.session, orders,
+                       [this, host = machine.host.text, token, incarnation = machine.incarnation, commands,
                         alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                          if (!alive.lock()) return;
                          --calls_;
-                         onDirect(host, token, session, orders, result);
+                         onDirectCommandAnswer(host, token, incarnation, commands, result);
                        });
 }
 
-void WorkerCommands::onDirect(const std::string& host, std::uint64_t token, std::uint64_t session,
-                              const std::vector<wire::Order>& orders, const wire::CallResult& result) {
+void WorkerCommands::onDirectCommandAnswer(const std::string& host, std::uint64_t token,
+                                           std::uint64_t incarnation,
+                                           const std::vector<wire::Command>& commands,
+                                           const wire::CallResult& result) {
   Machine* machine = machines_.find(host);
   if (machine == nullptr) return;
-  machine->direct = false;
+  machine->directCommandInFlight = false;
   const bool answered = result.status != 0;
-  for (const wire::Order& order : orders) {
-    if (order.verb != wire::Verb::start) continue;
-    Attempt* attempt = machine->find(order.task, order.attempt);
+  for (const wire::Command& command : commands) {
+    if (command.verb != wire::CommandVerb::start) continue;
+    Attempt* attempt = machine->find(command.task, command.attempt);
     if (attempt == nullptr) continue;
-    --attempt->directs;
+    --attempt->directCommandsInFlight;
     // It may be carried out minutes later, as long as token and session match.
-    if (!answered && result.sent && machine->session == session) attempt->openToken = token;
+    if (!answered && result.sent && machine->incarnation == incarnation)
+      attempt->unresolvedStartToken = token;
   }
   if (!answered) {
     if (result.sent && token == fencingTokenOf(*machine)) {
       // Makes the command void once the worker has seen the higher token.
       ++machine->fencingSequence;
-      machine->echoed = false;
-      machine->unechoedSince = context_.now;
+      machine->tokenAcknowledged = false;
+      machine->unacknowledgedSince = context_.now;
     }
-    machine->nextDirect = context_.now + constants::kWorkerTimeout;
+    machine->nextDirectAt = context_.now + constants::kWorkerTimeout;
     context_.event(Level::info, "no_answer", {{"machine", host}, {"sent", result.sent ? "yes" : "no"}});
     return;
   }
-  if (auto report = wire::decodeReport(result.body); report && report->host.text == host)
-    hooks_.answered(*machine, *report);
+  if (auto heartbeat = wire::decodeHeartbeat(result.body); heartbeat && heartbeat->host.text == host)
+    hooks_.answered(*machine, *heartbeat);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/worker_commands.hpp
+++ b/src/service/worker_commands.hpp
@@ -20,17 +20,17 @@
 using machines::MachinePhase;
 
 // How word of a machine came: its report to us, its report to a sibling, or its answer to a direct call.
-enum class Source { report, relay, direct };
+enum class Source { heartbeat, relay, direct };
 
 class WorkerCommands {
  public:
   struct Hooks {
-    std::function<bool()> mayAnswer;  // the lead was confirmed lately enough to renew leases
-    std::function<bool()> sure;       // nobody else can lead yet
+    std::function<bool()> mayRenewLeases;    // the lead was confirmed lately enough to renew leases
+    std::function<bool()> holdsLeaderLease;  // nobody else can lead yet
     std::function<bool(const Attempt&)> mayStartGang;
     std::function<bool(const wire::TaskId&)> isDurable;  // the task's completion is
-    std::function<void(Machine&, const wire::Report&)> answered;
-    std::function<void()> echoed;  // a machine has been seen with its newest token
+    std::function<void(Machine&, const wire::WorkerHeartbeat&)> answered;
+    std::function<void()> tokenAcknowledged;  // a machine has been seen with its newest token
   };
 
   WorkerCommands(Context& context, machines::MachineTable& machines, std::uint64_t term, Hooks hooks);
@@ -46,10 +46,10 @@
   // Makes commands under the machine's present token void.
   void advanceFencingToken(Machine& machine);
   // Notes whether the machine has been seen with its newest token.
-  void noteEcho(Machine& machine);
+  void noteAcknowledgedToken(Machine& machine);
   // Everything that is due on the machine, noted as sent that way.
-  std::vector<wire::Order> ordersFor(Machine& machine, Source via, std::uint64_t sequence);
-  void sendDirects();
+  std::vector<wire::Command> commandsFor(Machine& machine, Source via, std::uint64_t sequence);
+  void sendDirectCommands();
 
   // Calls to workers share the sockets, questions of others included.
   bool mayCall() const;
@@ -57,9 +57,9 @@
   void callEnds() { --calls_; }
 
  private:
-  void sendDirect(Machine& machine);
-  void onDirect(const std::string& host, std::uint64_t token, std::uint64_t session,
-                const std::vector<wire::Order>& orders, const wire::CallResult& result);
+  void sendDirectCommand(Machine& machine);
+  void onDirectCommandAnswer(const std::string& host, std::uint64_t token, std::uint64_t incarnation,
+                             const std::vector<wire::Command>& commands, const wire::CallResult& result);
 
   Context& context_;
   machines::MachineTable& machines_;
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -9,7 +9,7 @@
 namespace reachhoist::shares {
 
 double reportIntervalS(const config::Settings& settings) {
-  return settings.reportS * constants::kReportSpread;
+  return settings.heartbeatIntervalS * constants::kHeartbeatSpread;
 }
 
 double reclaimPauseS(const config::Settings& settings) { return reportIntervalS(settings); }
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -14,7 +14,7 @@
 
 // Machines whose room is divided: what runs on others is about to end or to move.
 bool isCounted(const Machine& machine) {
-  return machine.phase == machines::MachinePhase::up && !machine.sick && !machine.spotNoticeAt;
+  return machine.phase == machines::MachinePhase::up && !machine.quarantined && !machine.spotNoticeAt;
 }
 
 Resources times(const Resources& each, double count) {
@@ -33,15 +33,15 @@
 }
 
 // CPUs that each team's limit leaves.
-class TeamRoom {
+class TeamQuota {
  public:
-  TeamRoom(const config::Settings& settings, const std::vector<Machine*>& machines) {
+  TeamQuota(const config::Settings& settings, const std::vector<Machine*>& machines) {
     for (const config::Team& team : settings.teams)
       if (team.cpusMax > 0) free_[team.name] = team.cpusMax;
     if (free_.empty()) return;
     for (const Machine* machine : machines) {
       for (const Attempt& attempt : machine->attempts) {
-        if (!attempt.holdsRoom()) continue;
+        if (!attempt.holdsCapacity()) continue;
         if (const auto found = free_.find(attempt.team); found != free_.end())
           found->second -= attempt.each.vcpus;
       }
@@ -92,19 +92,19 @@
     if (!isCounted(*machine)) continue;
     usage.capacity += machine->total;
     for (const Attempt& attempt : machine->attempts) {
-      if (!attempt.holdsRoom() || isLeaving(attempt)) continue;
+      if (!attempt.holdsCapacity() || isLeaving(attempt)) continue;
       const auto found = usage.jobs.find(attempt.task.job.text);
       if (found == usage.jobs.end()) continue;
       ++found->second.placed;
       usage.loads[found->second.group].running += attempt.each;
     }
   }
-  TeamRoom room(settings, machines);
+  TeamQuota capacity(settings, machines);
   for (const jobs::Job* job : open) {
     JobStanding& standing = usage.jobs.at(job->spec.ref.text);
     GroupLoad& load = usage.loads[standing.group];
     const bool waits = !job->failures.jobAtFault() && isServable(job->spec.each, usage.capacity);
-    const double waiting = waits ? room.take(*job, job->waiting) : 0;
+    const double waiting = waits ? capacity.take(*job, job->waiting) : 0;
     const Resources asked = times(job->spec.each, standing.placed + waiting);
     load.demand += asked;
     if (standing.placed + waiting > 0) {
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -11,7 +11,7 @@
 Json encode(const Transaction& transaction) {
   Json conditions = Json::array();
   for (const Condition& condition : transaction.conditions)
-    conditions.push_back(Json{{"key", condition.key}, {"stamp", condition.stamp}});
+    conditions.push_back(Json{{"key", condition.key}, {"stamp", condition.revision}});
   Json writes = Json::array();
   for (const Write& write : transaction.writes) {
     if (!write.value) {
--- a/src/state/client.hpp
+++ b/src/state/client.hpp
@@ -17,7 +17,7 @@
 // Precondition of a compare-and-swap: the key's mod revision must equal stamp.
 struct Condition {
   std::string key;
-  std::uint64_t stamp = 0;  // 0: must not exist
+  std::uint64_t revision = 0;  // 0: must not exist
 };
 // One write of a transaction: a put, or a delete when there is no value.
 struct Write {
--- a/src/state/transaction.hpp
+++ b/src/state/transaction.hpp
@@ -15,7 +15,7 @@
 // The definite result of a transaction.
 struct Outcome {
   Verdict verdict = Verdict::refused;
-  std::uint64_t stamp = 0;          // mod revision of every key written, when applied
+  std::uint64_t revision = 0;       // mod revision of every key written, when applied
   std::vector<std::string> failed;  // keys whose preconditions did not hold, when refused ("?" if unknown)
 };
 
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -12,9 +12,9 @@
     MachineType machineType;
     Fields fields(entry);
     fields.text("label", machineType.label);
-    fields.amount("vcpus", machineType.room.vcpus);
-    fields.amount("accelerators", machineType.room.accelerators);
-    fields.amount("memoryGb", machineType.room.memoryGb);
+    fields.amount("vcpus", machineType.capacity.vcpus);
+    fields.amount("accelerators", machineType.capacity.accelerators);
+    fields.amount("memoryGb", machineType.capacity.memoryGb);
     fields.amount("cacheGb", machineType.cacheGb);
     fields.amount("pullGbPerS", machineType.pullGbPerS);
     fields.amount("rate", machineType.rate);
@@ -37,9 +37,9 @@
   Json list = Json::array();
   for (const MachineType& machineType : machineTypes) {
     list.push_back(Json{{"label", machineType.label},
-                        {"vcpus", machineType.room.vcpus},
-                        {"accelerators", machineType.room.accelerators},
-                        {"memoryGb", machineType.room.memoryGb},
+                        {"vcpus", machineType.capacity.vcpus},
+                        {"accelerators", machineType.capacity.accelerators},
+                        {"memoryGb", machineType.capacity.memoryGb},
                         {"cacheGb", machineType.cacheGb},
                         {"pullGbPerS", machineType.pullGbPerS},
                         {"rate", machineType.rate},
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -39,9 +39,9 @@
 
 Result<JobSpec> decodeJob(const Json& body);
 Json encodeJob(const JobSpec& job);
-Result<Report> decodeReport(const Json& body);
-Json encodeReport(const Report& report);
-Json encodeOrders(std::uint64_t token, const std::vector<Order>& orders);
+Result<WorkerHeartbeat> decodeHeartbeat(const Json& body);
+Json encodeHeartbeat(const WorkerHeartbeat& heartbeat);
+Json encodeCommands(std::uint64_t token, const std::vector<Command>& commands);
 Result<std::vector<MachineType>> decodeCatalog(const Json& body);
 Json encodeCatalog(const std::vector<MachineType>& machineTypes);
 Result<HostEntry> decodeHost(const Json& body);
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -82,9 +82,9 @@
   return *this;
 }
 
-bool Resources::fitsIn(const Resources& room) const {
-  return vcpus <= room.vcpus + kRoundingSlack && accelerators <= room.accelerators + kRoundingSlack &&
-         memoryGb <= room.memoryGb + kRoundingSlack;
+bool Resources::fitsIn(const Resources& capacity) const {
+  return vcpus <= capacity.vcpus + kRoundingSlack && accelerators <= capacity.accelerators + kRoundingSlack &&
+         memoryGb <= capacity.memoryGb + kRoundingSlack;
 }
 
 bool JobSpec::allowsMachineType(std::string_view machineType) const {
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -46,7 +46,7 @@
 
   Resources& operator+=(const Resources& other);
   Resources& operator-=(const Resources& other);
-  bool fitsIn(const Resources& room) const;
+  bool fitsIn(const Resources& capacity) const;
 };
 
 struct JobSpec {
@@ -73,34 +73,34 @@
 };
 
 // unfamiliar: a state or cause of a later protocol. The task counts as still there.
-enum class TaskStage { pulling, waiting, running, saving, ended, unfamiliar };
+enum class TaskState { pulling, waiting, running, saving, ended, unfamiliar };
 // peers, alone: a gang's task whose gang lost another task, or was not complete in time.
-enum class Cause { none, done, halted, error, noRoom, inUse, unknown, peers, alone };
+enum class Cause { none, done, halted, error, insufficientCapacity, inUse, unknown, peers, alone };
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
-  TaskStage stage = TaskStage::pulling;
+  TaskState stage = TaskState::pulling;
   Cause cause = Cause::none;
   bool stored = false;
 };
 
-struct Report {
+struct WorkerHeartbeat {
   HostName host;
   std::string endpoint;
   std::string machineType;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   std::uint64_t token = 0;
   std::optional<double> spotNoticeS;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class Verb { start, stop, forget };
-struct Order {
-  Verb verb = Verb::start;
+enum class CommandVerb { start, stop, forget };
+struct Command {
+  CommandVerb verb = CommandVerb::start;
   TaskId task;
   std::uint64_t attempt = 0;
   double graceS = 0;
@@ -108,7 +108,7 @@
 
 struct MachineType {
   std::string label;
-  Resources room;
+  Resources capacity;
   double cacheGb = 0;
   double pullGbPerS = 1;
   double rate = 0;
