--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -9,42 +9,32 @@
 constexpr const char* kBatchPrefix = "placed/";
 constexpr const char* kDonePrefix = "done/";
 constexpr const char* kSizingStateKey = "fleet/learned";
-
-std::size_t maxValueBytes(const config::Settings& settings) {
-  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kBatchFill);
-}
 }  // namespace
 
 Leader::Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
                std::uint64_t term, std::vector<std::uint64_t> partitionRevisions)
     : context_(context),
-      leadership_(leadership),
-      jobFeed_(jobFeed),
-      jobs_(jobs),
-      term_(term),
-      partitionRevisions_(std::move(partitionRevisions)),
-      electedAt_(context.now),
-      batches_(std::min<std::size_t>(constants::kBatchBytes, maxValueBytes(context.settings))),
-      maxValueBytes_(maxValueBytes(context.settings)),
-      commands_(context, machines_, term,
-                {[this] { return mayRenewLeases(); }, [this] { return holdsLeaderLease(); },
+      state_(context, leadership, jobFeed, jobs, term, std::move(partitionRevisions)),
+      commands_(context, state_.machines, term,
+                {[this] { return state_.mayRenewLeases(); }, [this] { return state_.holdsLeaderLease(); },
                  [this](const Attempt& attempt) { return gangMayStart(attempt); },
                  [this](const wire::TaskId& task) { return records_.isDurable(task); },
                  [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
                    applyHeartbeat(machine, heartbeat, Source::direct);
                  },
-                 [this] { planDue_ = true; }}),
-      records_(
-          context, jobs, context.settings.label + "-" + std::to_string(term),
-          {[this] { return partitionConditions(); },
-           [this](const state::Outcome& outcome, const char* what) { onTransactionRefused(outcome, what); },
-           [this](jobs::Job& job) { onJobEnded(job); }, [this] { scheduleForgetCommands(); }}),
-      placements_(context.state, context.settings.label + "-" + std::to_string(term) + "-p"),
-      decommissioning_(context.state, context.settings.label + "-" + std::to_string(term) + "-r"),
+                 [this] { state_.requestPlacementRound(); }}),
+      records_(context, jobs, state_.uniquePrefix(),
+               {[this] { return state_.partitionConditions(); },
+                [this](const state::Outcome& outcome, const char* what) {
+                  state_.onTransactionRefused(outcome, what);
+                },
+                [this](jobs::Job& job) { onJobEnded(job); }, [this] { scheduleForgetCommands(); }}),
+      placements_(context.state, state_.uniquePrefix() + "-p"),
+      decommissioning_(context.state, state_.uniquePrefix() + "-r"),
       partitionDetector_(context.settings),
       shares_(context),
       cloud_(std::make_unique<cloud::Client>(
-          context.calls, context.settings, context.settings.label + "-" + std::to_string(term),
+          context.calls, context.settings, state_.uniquePrefix(),
           cloud::Client::Handlers{
               [this](const auto& pool, const auto& hosts, std::size_t refused) {
                 onInstancesProvisioned(pool, hosts, refused);
@@ -56,33 +46,9 @@
   load();
 }
 
-void Leader::to(State next) { state_ = next; }
-
-void Leader::resign(const char* why) {
-  if (resigned_) return;
-  resigned_ = true;
-  leadership_.resign(why);
-}
-
-// While this process stood still another may have been elected: it asks before it acts again.
-bool Leader::confirmedSinceResume() const {
-  return std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt()) >= context_.resumedAt;
-}
-
-bool Leader::mayRenewLeases() const {
-  // Ownership alone is not enough: the read that confirms must also have brought in every cancellation.
-  const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
-  return confirmedSinceResume() && context_.now - confirmed < context_.settings.answerWindow();
-}
-
-bool Leader::holdsLeaderLease() const {
-  const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
-  return confirmedSinceResume() && context_.now - confirmed < constants::kLeaderTtl;
-}
-
 void Leader::resumed(wire::Duration away) {
   // Nothing was heard because nobody listened. What an earlier answer renewed goes on running out, though.
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     machine.lastHeartbeatAt += away;
     machine.lastDirectContactAt += away;
     if (machine.unacknowledgedSince != Time{}) machine.unacknowledgedSince += away;
@@ -90,13 +56,6 @@
   partitionDetector_.reset();
 }
 
-std::vector<state::Condition> Leader::partitionConditions() const {
-  std::vector<state::Condition> out;
-  for (cluster::PartitionId part = 0; part < partitionRevisions_.size(); ++part)
-    out.push_back({cluster::partitionKey(part), partitionRevisions_[part]});
-  return out;
-}
-
 // --- loading ---------------------------------------------------------------------------------------------
 
 void Leader::load() {
@@ -172,13 +131,13 @@
   if (hosts)
     for (const machines::BatchedHost& record : *hosts) names.insert(record.host);
   // Even a page that can't be read has a stamp, and its next writing depends on it.
-  batches_.loaded(page, revision, std::move(names));
+  state_.batches.loaded(page, revision, std::move(names));
   if (!hosts) {
     context_.event(Level::error, "bad_record", {{"page", number}});
     return;
   }
   for (const machines::BatchedHost& record : *hosts) {
-    Machine& machine = machines_.add(record.host);
+    Machine& machine = state_.machines.add(record.host);
     machine.machineType = record.machineType;
     machine.zone = record.zone;
     machine.spot = record.spot;
@@ -186,7 +145,7 @@
     machine.provisionedAt = machine.lastHeartbeatAt = machine.lastDirectContactAt = machine.upSince =
         machine.idleSince = context_.now;
     // Until this moment plus its window an earlier leader may have renewed the worker's lease.
-    machine.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
     for (const auto& [task, attemptNumber] : record.placed) {
       // On its way from a page that has become too large to another it stands on both.
       if (machine.find(task, attemptNumber) != nullptr) continue;
@@ -203,9 +162,9 @@
 }
 
 void Leader::loaded() {
-  for (const std::string& ref : jobs_.open()) jobs_.find(ref)->beginTracking(context_.now);
+  for (const std::string& ref : state_.jobs.open()) state_.jobs.find(ref)->beginTracking(context_.now);
   for (const DoneRecord& record : doneRecords_) {
-    jobs::Job* job = jobs_.find(record.ref);
+    jobs::Job* job = state_.jobs.find(record.ref);
     if (job == nullptr || !job->open()) {
       records_.deleteLater(jobs::doneKey(record.ref, record.chunk));
     } else if (!job->loadDoneChunk(record.chunk, record.hex, record.revision, context_.now)) {
@@ -213,18 +172,18 @@
     }
   }
   doneRecords_.clear();
-  for (const std::string& ref : jobs_.open())
-    if (jobs_.find(ref)->finished()) records_.finished(ref);
+  for (const std::string& ref : state_.jobs.open())
+    if (state_.jobs.find(ref)->finished()) records_.finished(ref);
   for (const std::string& host : loadedDecommissioning_) {
-    Machine& machine = machines_.add(host);
+    Machine& machine = state_.machines.add(host);
     machine.phase = MachinePhase::terminating;
-    machine.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
   }
   loadedDecommissioning_.clear();
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     describe(machine);
     for (Attempt& attempt : machine.attempts) {
-      jobs::Job* job = jobs_.find(attempt.task.job.text);
+      jobs::Job* job = state_.jobs.find(attempt.task.job.text);
       if (job != nullptr) {
         // Also when it has ended since: what is still on a machine counts for its team until proven gone.
         attempt.each = job->spec.each;
@@ -247,17 +206,17 @@
     if (machine.phase == MachinePhase::terminating) cloud_->release(context_.now, host);
   }
   adoptGangAttempts();
-  to(State::acting);
-  actingSince_ = context_.now;
+  phase_ = Phase::acting;
+  state_.actingSince = context_.now;
   nextSizingSave_ = context_.now + constants::kCopyEvery;
   loadSizingState();
   context_.event(
       Level::info, "acting",
-      {{"term", term_},
-       {"machines", machines_.all().size()},
-       {"open_jobs", jobs_.open().size()},
+      {{"term", state_.term},
+       {"machines", state_.machines.all().size()},
+       {"open_jobs", state_.jobs.open().size()},
        {"load_ms",
-        std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - electedAt_).count()}});
+        std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - state_.electedAt).count()}});
 }
 
 void Leader::loadSizingState() {
@@ -275,16 +234,16 @@
   if (context_.now < nextSizingSave_) return;
   nextSizingSave_ = context_.now + constants::kCopyEvery;
   state::Transaction transaction;
-  transaction.conditions = partitionConditions();
-  transaction.writes.push_back({kSizingStateKey, sizing_.encode(maxValueBytes_), std::nullopt});
+  transaction.conditions = state_.partitionConditions();
+  transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
   context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
 // --- life ------------------------------------------------------------------------------------------------
 
 void Leader::tick() {
-  if (resigned_) return;
-  if (state_ == State::loading) {
+  if (state_.resigned()) return;
+  if (phase_ == Phase::loading) {
     if (loadsLeft_.empty()) {
       loaded();
     } else if (loadsOut_ == 0 && context_.now >= loadRetryAt_) {
@@ -293,7 +252,7 @@
       for (const std::string& prefix : left) {
         if (prefix == "jobs") {
           ++loadsOut_;
-          jobFeed_.confirm(context_.now, [this, alive = std::weak_ptr<int>(alive_)](bool ok) {
+          state_.jobFeed.confirm(context_.now, [this, alive = std::weak_ptr<int>(alive_)](bool ok) {
             if (!alive.lock()) return;
             --loadsOut_;
             if (ok) {
@@ -304,8 +263,8 @@
           });
         } else {
           if (prefix == kBatchPrefix) {
-            machines_.clear();
-            batches_.clear();
+            state_.machines.clear();
+            state_.batches.clear();
           }
           if (prefix == kDonePrefix) doneRecords_.clear();
           if (prefix == kDecommissioningKey) loadedDecommissioning_.clear();
@@ -319,51 +278,52 @@
   detectFailures();
   advanceDecommissioning();
   advance();
-  if (resigned_) return;
+  if (state_.resigned()) return;
   writeDecommissioning();
   records_.clean();
   autoscale();
   saveSizingState();
-  shares_.tick(machines_, jobs_, holdsLeaderLease(), [this] { return partitionConditions(); });
-  if (shares_.tableChanged()) planDue_ = true;
+  shares_.tick(state_.machines, state_.jobs, state_.holdsLeaderLease(),
+               [this] { return state_.partitionConditions(); });
+  if (shares_.tableChanged()) state_.requestPlacementRound();
 }
 
 void Leader::advance() {
-  if (resigned_ || state_ != State::acting) return;
+  if (state_.resigned() || phase_ != Phase::acting) return;
   records_.tick();
   placements_.tick(context_.now);
   decommissioning_.tick(context_.now);
   records_.write();
   placementRound();
-  if (!resigned_) commands_.sendDirectCommands();
+  if (!state_.resigned()) commands_.sendDirectCommands();
 }
 
 void Leader::onJobAccepted(jobs::Job& job) {
-  if (state_ != State::acting) return;
+  if (phase_ != Phase::acting) return;
   job.beginTracking(context_.now);
-  planDue_ = true;
+  state_.requestPlacementRound();
 }
 
 void Leader::onJobEnded(jobs::Job& job) {
-  if (state_ != State::acting) return;
+  if (phase_ != Phase::acting) return;
   const std::string ref = job.spec.ref.text;
   job.endTracking();
   records_.forget(ref);
   shown_.erase(ref);
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     for (Attempt& attempt : machine.attempts)
       if (attempt.task.job.text == ref) commands_.stop(machine, attempt, 0);
     eraseFreedAttempts(machine);
   }
-  planDue_ = true;
+  state_.requestPlacementRound();
 }
 
 peer::Progress Leader::progress(bool all) {
   peer::Progress out;
-  out.term = term_;
-  if (state_ != State::acting) return out;
-  for (const std::string& ref : jobs_.open()) {
-    const jobs::Job& job = *jobs_.find(ref);
+  out.term = state_.term;
+  if (phase_ != Phase::acting) return out;
+  for (const std::string& ref : state_.jobs.open()) {
+    const jobs::Job& job = *state_.jobs.find(ref);
     const std::pair counts{job.completed, job.running};
     auto& shown = shown_[ref];
     if (!all && shown == counts) continue;
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -16,6 +16,7 @@
 #include "placement/planner.hpp"
 #include "service/completion_records.hpp"
 #include "service/context.hpp"
+#include "service/leader/leader_state.hpp"
 #include "service/partition_detector.hpp"
 #include "service/shares.hpp"
 #include "service/worker_commands.hpp"
@@ -28,9 +29,6 @@
 
 class Leader {
  public:
-  // loading: reading jobs, completions and machines. acting: everything else.
-  enum class State { loading, acting };
-
   Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
          std::uint64_t term, std::vector<std::uint64_t> partitionRevisions);
   Leader(const Leader&) = delete;
@@ -52,11 +50,12 @@
 
   // For display by the others: jobs whose counts changed since the last call, or all of them.
   peer::Progress progress(bool all);
-  State state() const { return state_; }
 
  private:
+  // loading: reading the records of earlier leaders. acting: everything else.
+  enum class Phase { loading, acting };
+
   // --- leader.cpp: life, loading
-  void to(State next);
   void load();
   void loadPage(const std::string& prefix, const std::string& after);
   void loaded();
@@ -65,17 +64,6 @@
   void adoptBatch(const std::string& number, const Json& value, std::uint64_t revision);
   void adoptDecommissioning(const Json& value, std::uint64_t revision);
   void adoptDone(const std::string& rest, const Json& value, std::uint64_t revision);
-  void resign(const char* why);
-  bool mayRenewLeases() const;
-  // Confirmed so lately that nobody else can lead yet. What costs money or condemns machines needs it: an
-  // leader that is cut off would rent and condemn beside the next one.
-  bool holdsLeaderLease() const;
-  // Asked the state service, with an answer, since this process last stood still.
-  bool confirmedSinceResume() const;
-  // Since when this leader could hear its machines without a break.
-  Time listeningSince() const { return std::max(actingSince_, context_.resumedAt); }
-  // Every durable change of a leader depends on its parts.
-  std::vector<state::Condition> partitionConditions() const;
 
   // --- leader_heartbeats.cpp, leader_task_failures.cpp, leader_failure_detection.cpp
   void applyHeartbeat(Machine& machine, const wire::WorkerHeartbeat& heartbeat, Source source);
@@ -120,10 +108,8 @@
   void onPlacements(const std::set<std::string>& hosts, const BatchHosts& pages,
                     const state::Outcome& outcome);
   void writeDecommissioning();
-  void onTransactionRefused(const state::Outcome& outcome, const char* what);
 
   // --- leader_gangs.cpp: attempts of gangs begin and end whole
-  void forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit);
   void setGangState(jobs::Job& job, jobs::GangState next, const char* why);
   void adoptGangAttempts();
   bool gangMayStart(const Attempt& attempt);
@@ -152,18 +138,10 @@
   // Services on machines that are cut off, by job.
   std::vector<placement::UnplacedDemand> servicesAtRisk();
   void requestInstances(const cloud::PoolKey& pool, int count, const char* why);
-  std::vector<Machine*> allMachines();
 
   Context& context_;
-  cluster::Leadership& leadership_;
-  state::Feed& jobFeed_;
-  jobs::JobTable& jobs_;
-  std::uint64_t term_;
-  std::vector<std::uint64_t> partitionRevisions_;
-  State state_ = State::loading;
-  bool resigned_ = false;
-  Time electedAt_{};
-  Time actingSince_{};
+  LeaderState state_;
+  Phase phase_ = Phase::loading;
 
   int loadsOut_ = 0;
   Time loadRetryAt_{};
@@ -177,19 +155,15 @@
   std::vector<DoneRecord> doneRecords_;
   std::vector<std::string> loadedDecommissioning_;
 
-  machines::MachineTable machines_;
-  machines::PlacementBatchTable batches_;
   std::set<std::uint32_t> staleBatches_;  // that name machines which are gone
   Time nextClean_{};
   std::uint64_t decommissioningRevision_ = 0;
-  std::size_t maxValueBytes_;  // bytes that one value may hold, in JSON form
   std::uint64_t attempts_ = 0;
   WorkerCommands commands_;
   CompletionRecords records_;
   state::Committer placements_;
   state::Committer decommissioning_;
   std::set<std::string> faultyJobs_;  // held to be at fault themselves
-  bool planDue_ = true;
   Time nextPlan_{};
   Time replanAt_{};
   Time nextSilenceCheck_{};
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -19,8 +19,8 @@
 void Leader::onInstancesProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
                                     std::size_t refused) {
   for (const std::string& host : hosts) {
-    if (machines_.find(host) != nullptr) continue;  // its worker was faster than the answer
-    Machine& machine = machines_.add(host);
+    if (state_.machines.find(host) != nullptr) continue;  // its worker was faster than the answer
+    Machine& machine = state_.machines.add(host);
     machine.machineType = pool.machineType;
     machine.zone = pool.zone;
     machine.spot = pool.spot;
@@ -33,40 +33,40 @@
   const std::set<std::string> gangs = std::exchange(gangScaleOuts_[pool], {});
   if (refused > 0) {
     for (const std::string& ref : gangs)
-      if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open())
+      if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open())
         job->gang.scaleOutFellShort(context_.now);
     refusedUntil_[pool] = context_.now + constants::kRefusedPause;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
   context_.event(Level::info, "rented",
                  {{"pool", pool.str()}, {"machines", hosts.size()}, {"refused", refused}});
-  planDue_ = true;
+  state_.requestPlacementRound();
 }
 
 void Leader::onInstancesReleased(const std::vector<std::string>& hosts) {
   for (const std::string& host : hosts) {
-    Machine* machine = machines_.find(host);
+    Machine* machine = state_.machines.find(host);
     if (machine == nullptr) continue;
     freeAllAttempts(*machine, "machine gone");
     machine->to(MachinePhase::terminated, context_.now);
-    for (const std::uint32_t page : batches_.naming(host)) staleBatches_.insert(page);
+    for (const std::uint32_t page : state_.batches.naming(host)) staleBatches_.insert(page);
     context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
     // A placement whose outcome is still open finds nothing left to start, and that is right.
     for (Attempt& attempt : machine->attempts) release(*machine, attempt, "machine gone");
-    machines_.remove(host);
+    state_.machines.remove(host);
     releasedUntil_[host] = context_.now + constants::kReleasedHostMemory;
   }
-  planDue_ = true;
+  state_.requestPlacementRound();
 }
 
 void Leader::onInstancesListed(const std::vector<wire::HostEntry>& hosts) {
   std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const wire::HostEntry& entry : hosts) {
-    Machine* machine = machines_.find(entry.ref.text);
+    Machine* machine = state_.machines.find(entry.ref.text);
     const double lagS = 2 * context_.settings.cloudListLagS;
     if (machine == nullptr) {
       if (releasedUntil_.contains(entry.ref.text)) continue;
-      Machine& stranger = machines_.add(entry.ref.text);
+      Machine& stranger = state_.machines.add(entry.ref.text);
       stranger.machineType = entry.machineType;
       stranger.zone = entry.zone;
       stranger.spot = entry.spot;
@@ -74,7 +74,7 @@
       stranger.provisionedAt = context_.now - wire::seconds(entry.ageS);
       stranger.lastHeartbeatAt = context_.now;
       stranger.lastDirectContactAt = context_.now;
-      stranger.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+      stranger.leaseRenewedAt = state_.inheritedLeaseRenewal();
       describe(stranger);
       // Nothing is placed on it, but an earlier leader had it up: it will report, and must not be taken for
       // one that never came up because of its age.
@@ -90,7 +90,7 @@
     } else if (machine->phase == MachinePhase::booting && entry.stage == wire::HostStage::running) {
       // Counted from when it was first said to run: one that came up late has only just begun to report.
       if (machine->listedUpAt == Time{}) machine->listedUpAt = context_.now;
-      const auto silent = context_.now - std::max(machine->listedUpAt, listeningSince());
+      const auto silent = context_.now - std::max(machine->listedUpAt, state_.listeningSince());
       if (wire::toSeconds(silent) > lagS + 4 * context_.settings.heartbeatIntervalS)
         decommission(*machine, "listed as running but silent");
     }
@@ -130,11 +130,11 @@
 // what is about to come.
 void Leader::detectBootTimeouts() {
   // What was reported while nobody listened arrives first.
-  if (context_.now - listeningSince() <
+  if (context_.now - state_.listeningSince() <
       wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1))
     return;
-  const fleet::BootCohorts cohorts(allMachines());
-  for (auto& [host, machine] : machines_.all()) {
+  const fleet::BootCohorts cohorts(state_.existingMachines());
+  for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::booting) continue;
     const auto age = context_.now - machine.provisionedAt;
     const auto patience =
@@ -151,7 +151,7 @@
     nextBootCheck_ = context_.now + constants::kScaleOutEvery;
     detectBootTimeouts();
   }
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
       machine.to(MachinePhase::decommissioning, context_.now);
     } else if (machine.phase == MachinePhase::up && machine.spotNoticeAt && machine.attempts.empty()) {
@@ -163,7 +163,7 @@
 std::vector<placement::UnplacedDemand> Leader::servicesAtRisk() {
   if (partitionDetector_.selfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasks;
-  for (const auto& [host, machine] : machines_.all()) {
+  for (const auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::up || !machine.unreachable ||
         !partitionDetector_.contains(machine.zone))
       continue;
@@ -172,23 +172,15 @@
   }
   std::vector<placement::UnplacedDemand> out;
   for (const auto& [ref, count] : tasks)
-    if (const jobs::Job* job = jobs_.find(ref); job != nullptr && job->open())
+    if (const jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open())
       out.push_back(placement::UnplacedDemand{job, count});
   return out;
 }
 
 fleet::FleetWorld Leader::fleetWorld() {
-  fleet::FleetWorld world{context_.settings,
-                          *context_.catalog,
-                          context_.now,
-                          context_.wallMs,
-                          allMachines(),
-                          unplaced_,
-                          {},
-                          {},
-                          partitionDetector_.zones(),
-                          servicesAtRisk(),
-                          boots_};
+  fleet::FleetWorld world{context_.settings,          *context_.catalog, context_.now, context_.wallMs,
+                          state_.existingMachines(),  unplaced_,         {},           {},
+                          partitionDetector_.zones(), servicesAtRisk(),  boots_};
   std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
@@ -209,10 +201,10 @@
 }
 
 void Leader::autoscale() {
-  if (!context_.catalog || !holdsLeaderLease()) return;
+  if (!context_.catalog || !state_.holdsLeaderLease()) return;
   // The machines that are up make themselves known first; else a new leader would rent everything again.
   const auto settle = wire::seconds(context_.settings.heartbeatIntervalS * 1.5 + 1);
-  if (context_.now - actingSince_ < settle && !machines_.all().empty()) return;
+  if (context_.now - state_.actingSince < settle && !state_.machines.all().empty()) return;
   if (sizing_.due(context_.now)) {
     const auto world = fleetWorld();
     fleet::Headroom spare(world);
@@ -222,7 +214,7 @@
           {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
       if (step.machines > 0) requestInstances(step.pool, step.machines, "step");
       int left = -step.machines;
-      for (auto& [host, machine] : machines_.all()) {
+      for (auto& [host, machine] : state_.machines.all()) {
         if (left <= 0) break;
         if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) continue;
         if (cloud::PoolKey{machine.machineType, machine.zone, machine.spot} != step.pool) continue;
@@ -244,7 +236,7 @@
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForReserve(world))
     requestInstances(rental.pool, rental.count, "reserve");
   for (Machine* machine : fleet::idleScaleIn(world)) drain(*machine, "idle");
-  if (context_.now < nextConsolidation_ || context_.now - actingSince_ < constants::kConsolidateMinAge)
+  if (context_.now < nextConsolidation_ || context_.now - state_.actingSince < constants::kConsolidateMinAge)
     return;
   nextConsolidation_ = context_.now + constants::kConsolidateEvery;
   for (Machine* machine : fleet::consolidationScaleIn(world)) drain(*machine, "vacated", true);
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -18,7 +18,7 @@
 void Leader::moveServicesOffPartitions() {
   if (partitionDetector_.zones().empty() || partitionDetector_.selfPartitioned()) return;
   double capacity = 0;
-  for (const auto& [host, machine] : machines_.all()) {
+  for (const auto& [host, machine] : state_.machines.all()) {
     const bool reached = machine.phase == MachinePhase::up && machine.tokenAcknowledged &&
                          !machine.unreachable && !machine.spotNoticeAt && !machine.spot;
     if (reached) capacity += std::max(0.0, machine.freeCapacity().vcpus);
@@ -33,7 +33,7 @@
   const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kMoveAtLease);
   const auto unheardFor =
       wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::up || !machine.unreachable ||
         !partitionDetector_.contains(machine.zone) ||
         context_.now - machine.lastHeartbeatAt < (machine.sequence == 0 ? unheardFor : moveAfter))
@@ -50,7 +50,7 @@
 // Neither workers nor siblings get through, or workers by way of siblings only: this controller reaches the
 // state service, but another serves better, and as long as this one leads the leases of all machines run out.
 bool Leader::transferLeadership() {
-  if (context_.settings.siblings.empty() || resigned_ || !holdsLeaderLease()) return false;
+  if (context_.settings.siblings.empty() || state_.resigned() || !state_.holdsLeaderLease()) return false;
   const char* why = nullptr;
   const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kHeartbeatFresh;
   const bool siblingConfirmed = context_.now - context_.siblingConfirmedAt <= constants::kHeartbeatFresh;
@@ -60,34 +60,33 @@
              partitionDetector_.unreachedFor(context_.now) > constants::kSelfCutPatience) {
     why = "hears workers through siblings only";
   } else if (siblingsSilent && partitionDetector_.unheardFor(context_.now) > constants::kUnheardPatience &&
-             context_.now - listeningSince() > constants::kUnheardPatience) {
+             context_.now - state_.listeningSince() > constants::kUnheardPatience) {
     // Machines that are all dead would not come to the next leader either; siblings that are silent as well
     // tell a cut from that.
     why = "hears nobody";
   }
   if (why == nullptr) return false;
-  resigned_ = true;
-  leadership_.stepDown(why);
+  state_.stepDown(why);
   return true;
 }
 
 void Leader::detectFailures() {
-  if (context_.now < nextSilenceCheck_ || !confirmedSinceResume()) return;
+  if (context_.now < nextSilenceCheck_ || !state_.confirmedSinceResume()) return;
   nextSilenceCheck_ = context_.now + constants::kTick * 10;
   probeSilentWorkers();
   // Most machines of a zone quiet at once are more likely cut off than dead, and relay needs a while to find
   // its way: condemning them would throw away work that runs. Then only the lease decides, or, shortly before
   // it does, room for their services elsewhere.
-  partitionDetector_.observe(machines_, context_.now);
+  partitionDetector_.observe(state_.machines, context_.now);
   const config::Settings& settings = context_.settings;
   const auto silentFor = wire::seconds(settings.heartbeatIntervalS * constants::kSilentHeartbeats + 2);
   const auto probeAfter = wire::seconds(settings.heartbeatIntervalS * constants::kProbeHeartbeats + 1);
   const auto goneFor = wire::seconds(settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
-  const bool settled = context_.now - listeningSince() > silentFor && holdsLeaderLease();
+  const bool settled = context_.now - state_.listeningSince() > silentFor && state_.holdsLeaderLease();
   if (partitionDetector_.mostlyIndirect()) probeRelayedWorkers();
   if (transferLeadership()) return;
   reviewFaultyJobs();
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase == MachinePhase::terminated) continue;
     quarantineIfFaulty(machine);
     const bool over = context_.now - machine.leaseRenewedAt > settings.leaseOver();
@@ -115,15 +114,16 @@
     if (settled && unacknowledged && machine.phase == MachinePhase::up)
       decommission(machine, "acknowledges nothing");
   }
-  if (context_.now - listeningSince() > goneFor && holdsLeaderLease()) moveServicesOffPartitions();
+  if (context_.now - state_.listeningSince() > goneFor && state_.holdsLeaderLease())
+    moveServicesOffPartitions();
 }
 
 // Workers that an earlier leader still answers would stay with it for as long as it believes itself entitled.
 // One that sees our token finds that leader's answers void and comes to us.
 void Leader::probeSilentWorkers() {
-  if (context_.now - actingSince_ < constants::kProbeUnheardAfter || !holdsLeaderLease()) return;
+  if (context_.now - state_.actingSince < constants::kProbeUnheardAfter || !state_.holdsLeaderLease()) return;
   unsigned left = std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / 4);
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
         machine.endpoint.empty())
       continue;
@@ -139,7 +139,7 @@
   std::size_t asked = 0;
   const auto overdue =
       wire::seconds(context_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     if (asked == constants::kDirectSamples || !commands_.mayCall()) return;
     const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
                          context_.now - machine.lastDirectContactAt > overdue;
@@ -163,7 +163,7 @@
                                          alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
     if (!alive.lock()) return;
     commands_.callEnds();
-    Machine* known = machines_.find(host);
+    Machine* known = state_.machines.find(host);
     if (known == nullptr) return;
     known->probing = false;
     if (result.status == 0) known->unreachable = true;
@@ -180,7 +180,7 @@
   const double leftS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
   for (Attempt& attempt : machine.attempts) {
     if (!attempt.holdsCapacity() || attempt.phase == AttemptPhase::planned) continue;
-    const jobs::Job* job = jobs_.find(attempt.task.job.text);
+    const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
     const double expectS = job != nullptr ? job->spec.expectS : 0;
     const double ranS =
         attempt.phase == AttemptPhase::running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
--- a/src/service/leader_heartbeats.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -15,24 +15,24 @@
 }  // namespace
 
 Leader::HeartbeatResponse Leader::onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source) {
-  if (state_ != State::acting || resigned_) return {};
-  if (!mayRenewLeases()) {
+  if (phase_ != Phase::acting || state_.resigned()) return {};
+  if (!state_.mayRenewLeases()) {
     // It is there all the same: after a long outage machines that kept reporting are not given up for silent.
-    Machine* known = machines_.find(heartbeat.host.text);
+    Machine* known = state_.machines.find(heartbeat.host.text);
     if (known != nullptr && newer(*known, heartbeat)) known->lastHeartbeatAt = context_.now;
     return {};
   }
   // A worker that has seen a later term drops our answers, and a 200 would only hold it here until its lease
   // has run out.
-  if (heartbeat.token >= cluster::token(term_ + 1, 0)) return {};
+  if (heartbeat.token >= cluster::token(state_.term + 1, 0)) return {};
   // Gone for good: this is a late copy of what it once sent, and must not bring it back.
   if (releasedUntil_.contains(heartbeat.host.text)) return {};
-  Machine* machine = machines_.find(heartbeat.host.text);
+  Machine* machine = state_.machines.find(heartbeat.host.text);
   if (machine == nullptr) {
     // Nobody expected it: a late rental, or one of an earlier leader. It is adopted like any other.
-    machine = &machines_.add(heartbeat.host.text);
+    machine = &state_.machines.add(heartbeat.host.text);
     machine->provisionedAt = context_.now;
-    machine->leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    machine->leaseRenewedAt = state_.inheritedLeaseRenewal();
     machine->lastHeartbeatAt = context_.now;
     machine->lastDirectContactAt = context_.now;
   }
@@ -90,7 +90,7 @@
       stray.stopWanted = true;
       stray.phase = AttemptPhase::recorded;
       stray.since = stray.placedAt = context_.now;
-      if (const jobs::Job* job = jobs_.find(status.task.job.text); job != nullptr) {
+      if (const jobs::Job* job = state_.jobs.find(status.task.job.text); job != nullptr) {
         stray.each = job->spec.each;
         stray.team = job->spec.team;
       }
@@ -131,7 +131,7 @@
   attempt.to(next, context_.now);
   const bool is = attempt.onMachine();
   if (was == is) return;
-  jobs::Job* job = jobs_.find(attempt.task.job.text);
+  jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || job->tasks.empty()) return;
   if (is) {
     ++job->running;
@@ -163,7 +163,7 @@
       setRunning(attempt, AttemptPhase::running);
       if (!attempt.image.empty()) machine.noteImage(attempt.image, attempt.sizeGb);
       if (attempt.gang)
-        if (jobs::Job* job = jobs_.find(attempt.task.job.text); job != nullptr && job->open())
+        if (jobs::Job* job = state_.jobs.find(attempt.task.job.text); job != nullptr && job->open())
           onGangTaskRunning(*job);
       return;
     case wire::TaskState::saving:
@@ -173,12 +173,12 @@
       break;
   }
   if (attempt.phase == AttemptPhase::ended) return;
-  planDue_ = true;
+  state_.requestPlacementRound();
   const bool wasPlaced = attempt.phase != AttemptPhase::free;
   setRunning(attempt, AttemptPhase::ended);
   attempt.cause = status.cause;
   if (!wasPlaced) return;
-  jobs::Job* job = jobs_.find(attempt.task.job.text);
+  jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   const bool known = job != nullptr && job->open() && attempt.task.index < job->tasks.size();
   if (status.cause == wire::Cause::done && !attempt.isService) {
     machine.clearErrors();
@@ -198,11 +198,11 @@
 }
 
 void Leader::unassign(jobs::Job& job, const wire::TaskId& task) {
-  planDue_ = true;
+  state_.requestPlacementRound();
   if (job.tasks[task.index] != jobs::TaskPhase::placed) return;
   // Records are cleaned lazily: after a change of leader a task may stand in two of them, and the end of the
   // stale attempt says nothing about the one that runs.
-  for (const auto& [host, machine] : machines_.all()) {
+  for (const auto& [host, machine] : state_.machines.all()) {
     for (const Attempt& other : machine.attempts)
       if (other.holdsCapacity() && other.task == task) return;
   }
@@ -212,7 +212,7 @@
 void Leader::reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   // Under a new term a report proves absence only once the worker has seen our token: before that it may be a
   // late copy of one that an earlier leader got.
-  if (heartbeat.token < cluster::token(term_, 0)) return;
+  if (heartbeat.token < cluster::token(state_.term, 0)) return;
   for (Attempt& attempt : machine.attempts) {
     const bool present =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
@@ -236,9 +236,9 @@
   if (attempt.phase == AttemptPhase::free) return;
   const bool wasEnded = attempt.phase == AttemptPhase::ended;
   setRunning(attempt, AttemptPhase::free);
-  planDue_ = true;
+  state_.requestPlacementRound();
   if (wasEnded) return;  // its task has moved on already
-  jobs::Job* job = jobs_.find(attempt.task.job.text);
+  jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || !job->open() || attempt.task.index >= job->tasks.size()) return;
   context_.event(Level::info, "released",
                  {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
@@ -259,13 +259,13 @@
 }
 
 void Leader::complete(const wire::TaskId& task) {
-  jobs::Job& job = *jobs_.find(task.job.text);
+  jobs::Job& job = *state_.jobs.find(task.job.text);
   if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
   if (job.isGang()) return completeGang(job);
   job.to(task.index, jobs::TaskPhase::completed, context_.now);
   if (job.failures.jobAtFault()) job.failures.reset();
   records_.completed(task);
-  planDue_ = true;
+  state_.requestPlacementRound();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -6,22 +6,8 @@
 
 namespace reachhoist::service {
 
-void Leader::onTransactionRefused(const state::Outcome& outcome, const char* what) {
-  for (const std::string& key : outcome.failed) {
-    if (key.starts_with("jobs/")) {
-      jobFeed_.confirm(context_.now, [](bool) {});
-    } else if (jobs::endedDoneKey(jobs_, key)) {
-      // Its job became final while this waited for its turn, and its records of progress have been deleted.
-    } else {
-      // Somebody else has written what only a leader writes, or we know less than we think: start over.
-      context_.event(Level::error, "refused", {{"what", what}, {"key", key}});
-      return resign("a record was not as known");
-    }
-  }
-}
-
 void Leader::scheduleForgetCommands() {
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     const bool forgettable = std::any_of(machine.attempts.begin(), machine.attempts.end(),
                                          [](const Attempt& a) { return a.phase == AttemptPhase::ended; });
     // The next report's answer carries it: nobody waits for a forget command.
@@ -31,13 +17,6 @@
 
 // --- placement ---------------------------------------------------------------------------------------------
 
-std::vector<Machine*> Leader::allMachines() {
-  std::vector<Machine*> out;
-  for (auto& [host, machine] : machines_.all())
-    if (machine.phase != MachinePhase::terminated) out.push_back(&machine);
-  return out;
-}
-
 placement::Plan Leader::planRound() {
   const std::size_t ops = context_.settings.stateTxnOps;
   placement::World world{context_.settings,
@@ -46,9 +25,9 @@
                          {},
                          {},
                          {},
-                         4 * ops - constants::kBatchesPerRound - partitionRevisions_.size()};
-  for (const std::string& ref : jobs_.open()) {
-    jobs::Job* job = jobs_.find(ref);
+                         4 * ops - constants::kBatchesPerRound - state_.partitionCount()};
+  for (const std::string& ref : state_.jobs.open()) {
+    jobs::Job* job = state_.jobs.find(ref);
     world.open.push_back(job);
     if (job->waiting > 0) world.jobs.push_back(job);
   }
@@ -57,7 +36,7 @@
     unplaced_.clear();
     return {};
   }
-  world.machines = allMachines();
+  world.machines = state_.existingMachines();
   placement::Plan plan = placement::plan(world);
   shares_.planned(plan);
   unplaced_ = std::move(plan.unplaced);
@@ -83,30 +62,30 @@
   // A new leader first hears what runs: until then all tasks look freshly started, and those that an earlier
   // leader has stopped look as if they went on.
   const auto settle = wire::seconds(context_.settings.heartbeatIntervalS * 1.5 + 1);
-  return context_.now - actingSince_ >= settle && holdsLeaderLease();
+  return context_.now - state_.actingSince >= settle && state_.holdsLeaderLease();
 }
 
 std::set<std::string> Leader::takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
                                               std::set<std::string>& jobs) {
   std::set<std::string> hosts;
   if (plan.assignments.empty()) return hosts;
-  batches_.recountBytes(machines_);
+  state_.batches.recountBytes(state_.machines);
   for (const placement::Assignment& assignment : plan.assignments) {
     const wire::JobSpec& spec = assignment.job->spec;
     Attempt attempt;
     attempt.task = wire::TaskId{spec.ref, assignment.index};
-    attempt.batch = batches_.place(*assignment.machine, attempt, pages, constants::kBatchesPerRound);
+    attempt.batch = state_.batches.place(*assignment.machine, attempt, pages, constants::kBatchesPerRound);
     jobs::Gang& gang = assignment.job->gang;
     attempt.gang = assignment.job->isGang();
     const bool begun = attempt.gang && gang.phase == jobs::GangState::reserving;
     if (!attempt.batch && !begun) {
-      planDue_ = true;  // the rest goes with the next round
+      state_.requestPlacementRound();  // the rest goes with the next round
       break;
     }
     // A gang's places are taken in one decision, though they may need several transactions.
     if (!attempt.batch) reserving_.insert(spec.ref.text);
     // Unique for ever: no later life or leader gives the same number. A gang's tasks share theirs.
-    attempt.number = begun ? gang.number : cluster::token(term_, ++attempts_);
+    attempt.number = begun ? gang.number : cluster::token(state_.term, ++attempts_);
     if (attempt.gang && !begun) {
       gang.number = attempt.number;
       gang.partialScaleOuts = 0;
@@ -137,17 +116,18 @@
   std::set<std::string> jobs;
   std::set<std::string> hosts;
   reserveRemainingGangTasks(pages, jobs, hosts);
-  if (pages.empty() && (planDue_ || context_.now >= replanAt_) && context_.now >= nextPlan_ &&
-      context_.catalog) {
-    planDue_ = false;
+  if (pages.empty() && (state_.placementRoundRequested || context_.now >= replanAt_) &&
+      context_.now >= nextPlan_ && context_.catalog) {
+    state_.placementRoundRequested = false;
     hosts = takeAssignments(planRound(), pages, jobs);
   }
   // Pages that name machines which are gone are written anew along with others, or by themselves in the end.
   if (!staleBatches_.empty() && (!pages.empty() || context_.now >= nextClean_)) {
-    batches_.recountBytes(machines_);
+    state_.batches.recountBytes(state_.machines);
     for (auto at = staleBatches_.begin();
          at != staleBatches_.end() && pages.size() < constants::kBatchesPerRound;) {
-      if (!pages.contains(*at) && !batches_.shrink(machines_, *at, pages, constants::kBatchesPerRound)) {
+      if (!pages.contains(*at) &&
+          !state_.batches.shrink(state_.machines, *at, pages, constants::kBatchesPerRound)) {
         ++at;  // what has moved off it is written first
         continue;
       }
@@ -159,15 +139,15 @@
   nextClean_ = context_.now + constants::kCleanEvery;
   state::Transaction transaction;
   BatchHosts names;
-  for (auto& [number, value] : batches_.encode(machines_, pages)) {
+  for (auto& [number, value] : state_.batches.encode(state_.machines, pages)) {
     for (const auto& [host, entry] : value["hosts"].items()) names[number].insert(host);
     names.try_emplace(number);
-    transaction.conditions.push_back({machines::placementBatchKey(number), batches_.revision(number)});
+    transaction.conditions.push_back({machines::placementBatchKey(number), state_.batches.revision(number)});
     transaction.writes.push_back({machines::placementBatchKey(number), std::move(value), std::nullopt});
   }
   for (const std::string& ref : jobs)
-    transaction.conditions.push_back({jobs::jobKey(ref), jobs_.find(ref)->revision});
-  for (auto& condition : partitionConditions()) transaction.conditions.push_back(std::move(condition));
+    transaction.conditions.push_back({jobs::jobKey(ref), state_.jobs.find(ref)->revision});
+  for (auto& condition : state_.partitionConditions()) transaction.conditions.push_back(std::move(condition));
   placements_.commit(
       context_.now, state::Urgency::place, std::move(transaction),
       [this, hosts, names](const state::Outcome& outcome) { onPlacements(hosts, names, outcome); });
@@ -175,13 +155,13 @@
 
 void Leader::onPlacements(const std::set<std::string>& hosts, const BatchHosts& pages,
                           const state::Outcome& outcome) {
-  planDue_ = true;
+  state_.requestPlacementRound();
   const bool applied = outcome.verdict == state::Verdict::applied;
   if (applied)
-    for (const auto& [page, named] : pages) batches_.written(page, outcome.revision, named);
+    for (const auto& [page, named] : pages) state_.batches.written(page, outcome.revision, named);
   std::set<std::string> gangs;
   for (const std::string& host : hosts) {
-    Machine* machine = machines_.find(host);
+    Machine* machine = state_.machines.find(host);
     if (machine == nullptr) continue;
     machine->recordBusy = false;
     for (Attempt& attempt : machine->attempts) {
@@ -206,8 +186,8 @@
     if (!machine->empty()) machine->idleSince = context_.now;
   }
   for (const std::string& ref : gangs)
-    if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open()) onGangRecorded(*job);
-  if (!applied) onTransactionRefused(outcome, "placements");
+    if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open()) onGangRecorded(*job);
+  if (!applied) state_.onTransactionRefused(outcome, "placements");
 }
 
 // --- machines that go --------------------------------------------------------------------------------------
@@ -221,11 +201,11 @@
   std::size_t bytes = 0;
   const auto fits = [&](const std::string& host) {
     bytes += host.size() + 3;
-    return bytes < maxValueBytes_;
+    return bytes < state_.valueSizeLimit;
   };
-  for (const auto& [host, machine] : machines_.all())
+  for (const auto& [host, machine] : state_.machines.all())
     if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
-  for (auto& [host, machine] : machines_.all()) {
+  for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::decommissioning || machine.recordBusy || !fits(host)) continue;
     machine.recordBusy = true;
     names.push_back(host);
@@ -233,7 +213,7 @@
   }
   if (retiring.empty()) return;
   state::Transaction transaction;
-  transaction.conditions = partitionConditions();
+  transaction.conditions = state_.partitionConditions();
   transaction.conditions.push_back({kDecommissioningKey, decommissioningRevision_});
   transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(names)}}, std::nullopt});
   decommissioning_.commit(context_.now, state::Urgency::place, std::move(transaction),
@@ -241,14 +221,14 @@
                             const bool applied = outcome.verdict == state::Verdict::applied;
                             if (applied) decommissioningRevision_ = outcome.revision;
                             for (const std::string& host : retiring) {
-                              Machine* machine = machines_.find(host);
+                              Machine* machine = state_.machines.find(host);
                               if (machine == nullptr) continue;
                               machine->recordBusy = false;
                               if (!applied) continue;
                               machine->to(MachinePhase::terminating, context_.now);
                               cloud_->release(context_.now, host);
                             }
-                            if (!applied) onTransactionRefused(outcome, "retiring");
+                            if (!applied) state_.onTransactionRefused(outcome, "retiring");
                           });
 }
 
--- a/src/service/leader_task_failures.cpp
+++ b/src/service/leader_task_failures.cpp
@@ -8,7 +8,7 @@
 void Leader::recordTaskFailure(Machine& machine, const Attempt& attempt) {
   const std::string& ref = attempt.task.job.text;
   context_.event(Level::info, "task_failed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
-  jobs::Job* job = jobs_.find(ref);
+  jobs::Job* job = state_.jobs.find(ref);
   if (job == nullptr || !job->open()) return;
   const bool ran = attempt.runningSince != Time{};
   job->failures.note(machine.host.text, ran ? context_.now - attempt.runningSince : wire::Duration{});
@@ -28,14 +28,14 @@
 
 // The machines on which the job failed are as good as any other.
 void Leader::clearMachineSuspicion(const std::string& ref) {
-  for (auto& [host, machine] : machines_.all())
+  for (auto& [host, machine] : state_.machines.all())
     if (machine.failedJobs.erase(ref) > 0 && machine.failedJobs.empty()) machine.clearErrors();
 }
 
 // What is held to be at fault and then does well had bad luck with its machines.
 void Leader::reviewFaultyJobs() {
   for (auto at = faultyJobs_.begin(); at != faultyJobs_.end();) {
-    jobs::Job* job = jobs_.find(*at);
+    jobs::Job* job = state_.jobs.find(*at);
     const bool over = job == nullptr || !job->open();
     if (!over && !job->failures.jobAtFault()) {
       at = faultyJobs_.erase(at);
@@ -44,7 +44,7 @@
     } else {
       if (!over) {
         job->failures.reset();
-        planDue_ = true;
+        state_.requestPlacementRound();
       }
       at = faultyJobs_.erase(at);
     }
@@ -53,12 +53,12 @@
 
 bool Leader::succeedsElsewhere(const std::string& ref,
                                std::optional<std::reference_wrapper<const Machine>> except) const {
-  const jobs::Job* job = jobs_.find(ref);
+  const jobs::Job* job = state_.jobs.find(ref);
   if (job != nullptr && job->open() && job->completed > 0) return true;
   // A job that is wrong may run for a while before each of its tasks fails.
   const auto enough =
       constants::kGoodAfter + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
-  for (const auto& [host, machine] : machines_.all()) {
+  for (const auto& [host, machine] : state_.machines.all()) {
     if (except && &except->get() == &machine) continue;
     for (const Attempt& attempt : machine.attempts) {
       // Tasks of a gang run together with the one that failed: that they ran proves nothing.
@@ -80,7 +80,7 @@
       machine.quarantined = true;
       return drain(machine, "sick");
     }
-    const jobs::Job* job = jobs_.find(ref);
+    const jobs::Job* job = state_.jobs.find(ref);
     if (job != nullptr && job->open() && job->failures.machines() < 2) allWrong = false;
   }
   if (allWrong) machine.clearErrors();
