--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -17,10 +17,10 @@
       state_(context, leadership, jobFeed, jobs, term, std::move(partitionRevisions)),
       commands_(context, state_.machines, term,
                 {[this] { return state_.mayRenewLeases(); }, [this] { return state_.holdsLeaderLease(); },
-                 [this](const Attempt& attempt) { return gangMayStart(attempt); },
+                 [this](const Attempt& attempt) { return gangs_.mayStart(attempt); },
                  [this](const wire::TaskId& task) { return records_.isDurable(task); },
                  [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
-                   applyHeartbeat(machine, heartbeat, Source::direct);
+                   heartbeats_.apply(machine, heartbeat, Source::direct);
                  },
                  [this] { state_.requestPlacementRound(); }}),
       records_(context, jobs, state_.uniquePrefix(),
@@ -28,20 +28,24 @@
                 [this](const state::Outcome& outcome, const char* what) {
                   state_.onTransactionRefused(outcome, what);
                 },
-                [this](jobs::Job& job) { onJobEnded(job); }, [this] { scheduleForgetCommands(); }}),
+                [this](jobs::Job& job) { onJobEnded(job); }, [this] { commands_.scheduleForgets(); }}),
+      gangs_(state_, commands_, records_),
+      cloud_(context.calls, context.settings, state_.uniquePrefix(),
+             {[this](const auto& pool, const auto& hosts, std::size_t refused) {
+                onInstancesProvisioned(pool, hosts, refused);
+              },
+              [this](const auto& hosts) { inventory_.onReleased(hosts); },
+              [this](const auto& hosts) { inventory_.onListed(hosts); },
+              [this](std::vector<wire::MachineType> catalog) { context_.catalog = std::move(catalog); }}),
+      lifecycle_(state_, commands_, gangs_, cloud_),
+      boots_(state_, lifecycle_),
+      failures_(state_, lifecycle_),
+      attempts_(state_, gangs_, failures_, records_),
+      inventory_(state_, lifecycle_, attempts_),
+      heartbeats_(state_, commands_, lifecycle_, attempts_, boots_, inventory_),
       placements_(context.state, state_.uniquePrefix() + "-p"),
-      decommissioning_(context.state, state_.uniquePrefix() + "-r"),
       partitionDetector_(context.settings),
       shares_(context),
-      cloud_(std::make_unique<cloud::Client>(
-          context.calls, context.settings, state_.uniquePrefix(),
-          cloud::Client::Handlers{
-              [this](const auto& pool, const auto& hosts, std::size_t refused) {
-                onInstancesProvisioned(pool, hosts, refused);
-              },
-              [this](const auto& hosts) { onInstancesReleased(hosts); },
-              [this](const auto& hosts) { onInstancesListed(hosts); },
-              [this](std::vector<wire::MachineType> catalog) { context_.catalog = std::move(catalog); }})),
       sizing_(context.settings, term) {
   load();
 }
@@ -109,7 +113,7 @@
 }
 
 void Leader::adoptDecommissioning(const Json& value, std::uint64_t revision) {
-  decommissioningRevision_ = revision;
+  lifecycle_.loadedRecord(revision);
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_array()) {
     context_.event(Level::error, "bad_record", {{"key", kDecommissioningKey}});
@@ -181,7 +185,7 @@
   }
   loadedDecommissioning_.clear();
   for (auto& [host, machine] : state_.machines.all()) {
-    describe(machine);
+    lifecycle_.applyMachineType(machine);
     for (Attempt& attempt : machine.attempts) {
       jobs::Job* job = state_.jobs.find(attempt.task.job.text);
       if (job != nullptr) {
@@ -203,9 +207,9 @@
       if (job->tasks[attempt.task.index] == jobs::TaskPhase::waiting)
         job->to(attempt.task.index, jobs::TaskPhase::placed, context_.now);
     }
-    if (machine.phase == MachinePhase::terminating) cloud_->release(context_.now, host);
+    if (machine.phase == MachinePhase::terminating) cloud_.release(context_.now, host);
   }
-  adoptGangAttempts();
+  gangs_.adoptAttempts();
   phase_ = Phase::acting;
   state_.actingSince = context_.now;
   nextSizingSave_ = context_.now + constants::kCopyEvery;
@@ -274,12 +278,13 @@
     }
     return;
   }
-  cloud_->tick(context_.now);
+  cloud_.tick(context_.now);
   detectFailures();
-  advanceDecommissioning();
+  boots_.tick();
+  lifecycle_.advance();
   advance();
   if (state_.resigned()) return;
-  writeDecommissioning();
+  lifecycle_.writeDecommissioning();
   records_.clean();
   autoscale();
   saveSizingState();
@@ -292,12 +297,17 @@
   if (state_.resigned() || phase_ != Phase::acting) return;
   records_.tick();
   placements_.tick(context_.now);
-  decommissioning_.tick(context_.now);
+  lifecycle_.tick();
   records_.write();
   placementRound();
   if (!state_.resigned()) commands_.sendDirectCommands();
 }
 
+HeartbeatResponse Leader::onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source) {
+  if (phase_ != Phase::acting) return {};
+  return heartbeats_.onHeartbeat(heartbeat, source);
+}
+
 void Leader::onJobAccepted(jobs::Job& job) {
   if (phase_ != Phase::acting) return;
   job.beginTracking(context_.now);
@@ -313,7 +323,7 @@
   for (auto& [host, machine] : state_.machines.all()) {
     for (Attempt& attempt : machine.attempts)
       if (attempt.task.job.text == ref) commands_.stop(machine, attempt, 0);
-    eraseFreedAttempts(machine);
+    AttemptTracker::eraseFreed(machine);
   }
   state_.requestPlacementRound();
 }
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -16,7 +16,14 @@
 #include "placement/planner.hpp"
 #include "service/completion_records.hpp"
 #include "service/context.hpp"
+#include "service/leader/attempt_tracker.hpp"
+#include "service/leader/boot_monitor.hpp"
+#include "service/leader/gang_coordinator.hpp"
+#include "service/leader/heartbeat_processor.hpp"
+#include "service/leader/instance_inventory.hpp"
 #include "service/leader/leader_state.hpp"
+#include "service/leader/machine_lifecycle.hpp"
+#include "service/leader/task_failure_policy.hpp"
 #include "service/partition_detector.hpp"
 #include "service/shares.hpp"
 #include "service/worker_commands.hpp"
@@ -25,8 +32,6 @@
 
 namespace reachhoist::service {
 
-inline constexpr const char* kDecommissioningKey = "retiring";
-
 class Leader {
  public:
   Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
@@ -39,10 +44,6 @@
   void onJobAccepted(jobs::Job& job);
   void onJobEnded(jobs::Job& job);
 
-  struct HeartbeatResponse {
-    int status = 503;
-    Json body;
-  };
   using Source = service::Source;
   HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source);
   // This process stood still for so long.
@@ -66,23 +67,6 @@
   void adoptDone(const std::string& rest, const Json& value, std::uint64_t revision);
 
   // --- leader_heartbeats.cpp, leader_task_failures.cpp, leader_failure_detection.cpp
-  void applyHeartbeat(Machine& machine, const wire::WorkerHeartbeat& heartbeat, Source source);
-  void applyTaskStatus(Machine& machine, Attempt& attempt, const wire::TaskStatus& status);
-  void reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-  void onNewIncarnation(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-  void release(Machine& machine, Attempt& attempt, const char* why);
-  void unassign(jobs::Job& job, const wire::TaskId& task);
-  void freeAllAttempts(Machine& machine, const char* why);
-  void eraseFreedAttempts(Machine& machine);
-  void recordTaskFailure(Machine& machine, const Attempt& attempt);
-  void clearMachineSuspicion(const std::string& ref);
-  // Whether some task of the job has completed, or has run for longer than those that failed, on any machine
-  // but one.
-  bool succeedsElsewhere(const std::string& ref,
-                         std::optional<std::reference_wrapper<const Machine>> except) const;
-  void quarantineIfFaulty(Machine& machine);
-  void reviewFaultyJobs();
-  void complete(const wire::TaskId& task);
   void detectFailures();
   // Leaves the lead to a sibling if workers don't reach this controller; true if it has.
   bool transferLeadership();
@@ -92,11 +76,8 @@
   void probeSilentWorkers();
   void probeRelayedWorkers();
   void probe(Machine& machine);
-  void onSpotNotice(Machine& machine);
-  void setRunning(Attempt& attempt, AttemptPhase next);
 
   // --- leader_scheduling.cpp: completions, placement, records
-  void scheduleForgetCommands();
   void placementRound();
   placement::Plan planRound();
   // Whether work may be stopped for the sake of shares.
@@ -107,32 +88,14 @@
   using BatchHosts = std::map<std::uint32_t, std::set<std::string>>;  // machines that each page names
   void onPlacements(const std::set<std::string>& hosts, const BatchHosts& pages,
                     const state::Outcome& outcome);
-  void writeDecommissioning();
 
   // --- leader_gangs.cpp: attempts of gangs begin and end whole
-  void setGangState(jobs::Job& job, jobs::GangState next, const char* why);
-  void adoptGangAttempts();
-  bool gangMayStart(const Attempt& attempt);
-  void onGangRecorded(jobs::Job& job);
-  void onGangTaskRunning(jobs::Job& job);
-  void onGangTaskLost(jobs::Job& job, const Attempt& attempt, const char* why);
-  void stopGang(const std::string& ref, double leftS, const char* why);
-  void completeGang(jobs::Job& job);
   void reserveRemainingGangTasks(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
                                  std::set<std::string>& hosts);
 
   // --- leader_autoscaling.cpp: renting, returning, sizing
   void onInstancesProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
                               std::size_t refused);
-  void onInstancesReleased(const std::vector<std::string>& hosts);
-  void onInstancesListed(const std::vector<wire::HostEntry>& hosts);
-  void describe(Machine& machine);
-  // Its tasks are stopped, or (gently) only those that go on elsewhere at once.
-  void drain(Machine& machine, const char* why, bool gently = false);
-  void decommission(Machine& machine, const char* why);
-  void advanceDecommissioning();
-  void detectBootTimeouts();
-  double bootSecondsOf(const Machine& machine) const;
   void autoscale();
   fleet::FleetWorld fleetWorld();
   // Services on machines that are cut off, by job.
@@ -155,33 +118,32 @@
   std::vector<DoneRecord> doneRecords_;
   std::vector<std::string> loadedDecommissioning_;
 
-  std::set<std::uint32_t> staleBatches_;  // that name machines which are gone
   Time nextClean_{};
-  std::uint64_t decommissioningRevision_ = 0;
-  std::uint64_t attempts_ = 0;
+  std::uint64_t attemptCount_ = 0;
   WorkerCommands commands_;
   CompletionRecords records_;
+  GangCoordinator gangs_;
+  cloud::Client cloud_;
+  MachineLifecycle lifecycle_;
+  BootMonitor boots_;
+  TaskFailurePolicy failures_;
+  AttemptTracker attempts_;
+  InstanceInventory inventory_;
+  HeartbeatProcessor heartbeats_;
   state::Committer placements_;
-  state::Committer decommissioning_;
-  std::set<std::string> faultyJobs_;  // held to be at fault themselves
   Time nextPlan_{};
   Time replanAt_{};
   Time nextSilenceCheck_{};
-  Time nextBootCheck_{};
   PartitionDetector partitionDetector_;
   std::vector<placement::UnplacedDemand> unplaced_;
   SharesInRounds shares_;
   std::set<std::string> reserving_;  // gangs of which some places are not in a transaction yet
-  bool unfamiliarLogged_ = false;
 
-  std::unique_ptr<cloud::Client> cloud_;
   fleet::Sizing sizing_;
-  fleet::BootHistory boots_;
   Time nextSizingSave_{};
   std::map<cloud::PoolKey, Time> refusedUntil_;
   std::map<cloud::PoolKey, std::set<std::string>>
-      gangScaleOuts_;                          // gangs that wait for what the pool was asked for
-  std::map<std::string, Time> releasedUntil_;  // lists older than the return still name them
+      gangScaleOuts_;  // gangs that wait for what the pool was asked for
   Time nextScaleOut_{};
   Time nextConsolidation_{};
   std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> shown_;
--- /dev/null
+++ b/src/service/leader/attempt_tracker.cpp
@@ -0,0 +1,128 @@
+#include "service/leader/attempt_tracker.hpp"
+
+#include <utility>
+
+namespace reachhoist::service {
+
+void AttemptTracker::setPhase(Attempt& attempt, AttemptPhase next) {
+  const bool wasRunning = attempt.onMachine();
+  attempt.to(next, context_.now);
+  const bool isRunning = attempt.onMachine();
+  if (wasRunning == isRunning) return;
+  jobs::Job* job = state_.jobs.find(attempt.task.job.text);
+  if (job == nullptr || job->tasks.empty()) return;
+  if (isRunning) {
+    ++job->running;
+  } else if (job->running > 0) {
+    --job->running;
+  }
+}
+
+void AttemptTracker::applyStatus(Machine& machine, Attempt& attempt, const wire::TaskStatus& status) {
+  attempt.incarnation = machine.incarnation;
+  switch (status.stage) {
+    case wire::TaskState::unfamiliar:
+      // A state of a later protocol version: whatever it means, the task is on the machine.
+      if (!std::exchange(unfamiliarStateLogged_, true))
+        context_.event(Level::info, "unfamiliar_state",
+                       {{"task", attempt.task.str()}, {"machine", machine.host.text}});
+      if (attempt.phase == AttemptPhase::recorded) setPhase(attempt, AttemptPhase::pulling);
+      return;
+    case wire::TaskState::pulling:
+    case wire::TaskState::waiting:
+      return setPhase(attempt, AttemptPhase::pulling);
+    case wire::TaskState::running:
+      return applyRunning(machine, attempt);
+    case wire::TaskState::saving:
+      return setPhase(attempt, AttemptPhase::saving);
+    case wire::TaskState::ended:
+      return applyEnded(machine, attempt, status.cause);
+  }
+}
+
+void AttemptTracker::applyRunning(Machine& machine, Attempt& attempt) {
+  if (attempt.phase != AttemptPhase::running && context_.logs(Level::debug))
+    context_.event(Level::debug, "running",
+                   {{"task", attempt.task.str()},
+                    {"machine", machine.host.text},
+                    {"after_s", wire::toSeconds(context_.now - attempt.placedAt)}});
+  setPhase(attempt, AttemptPhase::running);
+  if (!attempt.image.empty()) machine.noteImage(attempt.image, attempt.sizeGb);
+  if (!attempt.gang) return;
+  if (jobs::Job* job = state_.jobs.find(attempt.task.job.text); job != nullptr && job->open())
+    gangs_.onTaskRunning(*job);
+}
+
+void AttemptTracker::applyEnded(Machine& machine, Attempt& attempt, wire::Cause cause) {
+  if (attempt.phase == AttemptPhase::ended) return;
+  state_.requestPlacementRound();
+  const bool wasPlaced = attempt.phase != AttemptPhase::free;
+  setPhase(attempt, AttemptPhase::ended);
+  attempt.cause = cause;
+  if (!wasPlaced) return;
+  jobs::Job* job = state_.jobs.find(attempt.task.job.text);
+  const bool known = job != nullptr && job->open() && attempt.task.index < job->tasks.size();
+  if (cause == wire::Cause::done && !attempt.isService) {
+    machine.clearErrors();
+    if (known) complete(attempt.task);
+    return;
+  }
+  if (cause == wire::Cause::error || cause == wire::Cause::unknown) failures_.recordFailure(machine, attempt);
+  if (context_.logs(Level::debug))
+    context_.event(
+        Level::debug, "ended",
+        {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"cause", static_cast<int>(cause)}});
+  if (!known) return;
+  unassign(*job, attempt.task);
+  gangs_.onTaskLost(*job, attempt, "a task ended");
+}
+
+void AttemptTracker::unassign(jobs::Job& job, const wire::TaskId& task) {
+  state_.requestPlacementRound();
+  if (job.tasks[task.index] != jobs::TaskPhase::placed) return;
+  // Records are cleaned lazily: after a change of leader a task may stand in two of them, and the end of the
+  // stale attempt says nothing about the one that runs.
+  for (const auto& [host, machine] : state_.machines.all()) {
+    for (const Attempt& other : machine.attempts)
+      if (other.holdsCapacity() && other.task == task) return;
+  }
+  job.to(task.index, jobs::TaskPhase::waiting, context_.now);
+}
+
+void AttemptTracker::release(Machine& machine, Attempt& attempt, const char* why) {
+  if (attempt.phase == AttemptPhase::free) return;
+  const bool wasEnded = attempt.phase == AttemptPhase::ended;
+  setPhase(attempt, AttemptPhase::free);
+  state_.requestPlacementRound();
+  if (wasEnded) return;  // its task was handled when the attempt ended
+  jobs::Job* job = state_.jobs.find(attempt.task.job.text);
+  if (job == nullptr || !job->open() || attempt.task.index >= job->tasks.size()) return;
+  context_.event(Level::info, "released",
+                 {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
+  unassign(*job, attempt.task);
+  gangs_.onTaskLost(*job, attempt, why);
+}
+
+void AttemptTracker::releaseAll(Machine& machine, const char* why) {
+  for (Attempt& attempt : machine.attempts) {
+    // An attempt whose placement is being written has never been started; the transaction decides about it.
+    if (attempt.phase != AttemptPhase::planned) release(machine, attempt, why);
+  }
+  eraseFreed(machine);
+}
+
+void AttemptTracker::eraseFreed(Machine& machine) {
+  std::erase_if(machine.attempts, [](const Attempt& attempt) { return attempt.phase == AttemptPhase::free; });
+}
+
+void AttemptTracker::complete(const wire::TaskId& task) {
+  jobs::Job& job = *state_.jobs.find(task.job.text);
+  if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
+  if (job.isGang()) return gangs_.complete(job);
+  job.to(task.index, jobs::TaskPhase::completed, context_.now);
+  if (job.failures.jobAtFault()) job.failures.reset();
+  records_.completed(task);
+  state_.requestPlacementRound();
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/boot_monitor.cpp
@@ -0,0 +1,41 @@
+#include "service/leader/boot_monitor.hpp"
+
+namespace reachhoist::service {
+
+void BootMonitor::recordBoot(const Machine& machine) {
+  history_.recordBoot(machine.machineType, machine.zone, context_.now - machine.provisionedAt, context_.now);
+}
+
+void BootMonitor::tick() {
+  if (context_.now < nextCheck_) return;
+  nextCheck_ = context_.now + constants::kScaleOutEvery;
+  detectTimeouts();
+}
+
+double BootMonitor::nominalBootS(const Machine& machine) const {
+  if (!context_.catalog) return 0;
+  for (const wire::MachineType& machineType : *context_.catalog)
+    if (machineType.label == machine.machineType) return machineType.bootS;
+  return 0;
+}
+
+// A machine that never comes up costs money until it is released; but where all boots are slow, giving up
+// would throw away machines that are about to come up.
+void BootMonitor::detectTimeouts() {
+  // Heartbeats that were sent while nobody listened arrive first.
+  const auto settle = state_.heartbeatTimeout(constants::kGoneHeartbeats, 1);
+  if (context_.now - state_.listeningSince() < settle) return;
+  const fleet::BootCohorts cohorts(state_.existingMachines());
+  for (auto& [host, machine] : state_.machines.all()) {
+    if (machine.phase != MachinePhase::booting) continue;
+    const auto age = context_.now - machine.provisionedAt;
+    const auto timeout =
+        history_.bootTimeout(machine.machineType, machine.zone, nominalBootS(machine), context_.now);
+    if (age <= timeout) continue;
+    if (age <= constants::kBootAllSlow * timeout && !cohorts.lagsCohort(machine)) continue;
+    history_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
+    lifecycle_.decommission(machine, "never came up");
+  }
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/gang_coordinator.cpp
@@ -0,0 +1,130 @@
+#include "service/leader/gang_coordinator.hpp"
+
+#include <algorithm>
+#include <map>
+#include <set>
+
+namespace reachhoist::service {
+
+using jobs::GangState;
+
+namespace {
+constexpr int kMaxBackoffDoublings = 6;
+
+bool attemptInProgress(const jobs::Job& job) {
+  const GangState phase = job.gang.phase;
+  return phase == GangState::reserving || phase == GangState::gathering || phase == GangState::running;
+}
+}  // namespace
+
+void GangCoordinator::setState(jobs::Job& job, GangState next, const char* why) {
+  if (job.gang.phase == next) return;
+  context_.event(Level::info, "gang",
+                 {{"job", job.spec.ref.text},
+                  {"from", std::string(name(job.gang.phase))},
+                  {"to", std::string(name(next))},
+                  {"why", why}});
+  job.gang.to(next);
+}
+
+void GangCoordinator::adoptAttempts() {
+  std::map<std::string, std::set<std::uint32_t>> tasksOfLatest;  // by job
+  for (auto& [host, machine] : state_.machines.all()) {
+    for (const Attempt& attempt : machine.attempts) {
+      jobs::Job* job = attempt.gang ? state_.jobs.find(attempt.task.job.text) : nullptr;
+      if (job == nullptr || attempt.number < job->gang.number) continue;
+      if (attempt.number > job->gang.number) tasksOfLatest[attempt.task.job.text].clear();
+      job->gang.number = attempt.number;
+      tasksOfLatest[attempt.task.job.text].insert(attempt.task.index);
+    }
+  }
+  for (auto& [ref, found] : tasksOfLatest) {
+    jobs::Job& job = *state_.jobs.find(ref);
+    const bool complete = found.size() == job.spec.taskCount;
+    setState(job, complete ? GangState::gathering : GangState::clearing, "adopted");
+    state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
+      if (!complete || attempt.number != job.gang.number) commands_.stop(machine, attempt, 0);
+    });
+  }
+}
+
+void GangCoordinator::beginAttempt(jobs::Job& job, std::uint64_t number) {
+  job.gang.number = number;
+  job.gang.partialScaleOuts = 0;
+  setState(job, GangState::reserving, "room for all");
+}
+
+bool GangCoordinator::mayStart(const Attempt& attempt) {
+  const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
+  return job != nullptr && job->open() && job->gang.number == attempt.number &&
+         job->gang.phase == GangState::gathering;
+}
+
+void GangCoordinator::onTasksRecorded(jobs::Job& job) {
+  if (job.gang.phase != GangState::reserving) return;
+  std::uint32_t recorded = 0;
+  state_.forEachAttempt(job.spec.ref.text, [&](Machine&, Attempt& attempt) {
+    if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::recorded) ++recorded;
+  });
+  if (recorded < job.spec.taskCount) return;
+  setState(job, GangState::gathering, "all places are durable");
+  state_.forEachAttempt(job.spec.ref.text,
+                        [this](Machine& machine, Attempt&) { commands_.markDue(machine); });
+}
+
+void GangCoordinator::onTaskRunning(jobs::Job& job) {
+  if (job.gang.phase != GangState::gathering || job.running < job.spec.taskCount) return;
+  // job.running also counts tasks of an earlier attempt and tasks that are checkpointing already: they don't
+  // show that this attempt runs.
+  std::uint32_t running = 0;
+  state_.forEachAttempt(job.spec.ref.text, [&](Machine&, const Attempt& attempt) {
+    if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::running) ++running;
+  });
+  if (running < job.spec.taskCount) return;
+  job.gang.failures = 0;
+  setState(job, GangState::running, "all tasks run");
+}
+
+void GangCoordinator::onTaskLost(jobs::Job& job, const Attempt& attempt, const char* why) {
+  if (!job.isGang() || !job.open() || attempt.number != job.gang.number) return;
+  if (!attemptInProgress(job)) return;
+  setState(job, GangState::clearing, why);
+  ++job.gang.failures;
+  const auto backoff = constants::kGangRetry * (1 << std::min(job.gang.failures - 1, kMaxBackoffDoublings));
+  job.backoffUntil = std::max(job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(
+                                                                   backoff, constants::kGangRetryMost));
+  state_.forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt& other) {
+    if (other.holdsCapacity()) commands_.stop(machine, other, 0);
+  });
+}
+
+void GangCoordinator::complete(jobs::Job& job) {
+  setState(job, GangState::done, "a task is done");
+  for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
+    job.to(index, jobs::TaskPhase::completed, context_.now);
+  records_.finished(job.spec.ref.text);
+  state_.requestPlacementRound();
+}
+
+void GangCoordinator::stop(Machine& machine, Attempt& attempt, double graceS, double leftS, const char* why) {
+  if (attempt.gang) {
+    stopGang(attempt.task.job.text, leftS, why);
+  } else {
+    commands_.stop(machine, attempt, graceS);
+  }
+}
+
+void GangCoordinator::stopGang(const std::string& ref, double leftS, const char* why) {
+  jobs::Job* job = state_.jobs.find(ref);
+  if (job == nullptr || !job->open() || !job->isGang()) return;
+  if (!attemptInProgress(*job)) return;
+  const double graceS = job->spec.checkpointS + 1;
+  const bool saves =
+      job->gang.phase == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
+  setState(*job, GangState::stopping, why);
+  state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
+    if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? graceS : 0);
+  });
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/heartbeat_processor.hpp
@@ -0,0 +1,63 @@
+// Worker heartbeats: what they prove about machines and task attempts, and the commands that answer them.
+#pragma once
+
+#include "service/leader/attempt_tracker.hpp"
+#include "service/leader/boot_monitor.hpp"
+#include "service/leader/instance_inventory.hpp"
+#include "service/leader/leader_state.hpp"
+#include "service/leader/machine_lifecycle.hpp"
+#include "service/worker_commands.hpp"
+
+namespace reachhoist::service {
+
+// The answer to a heartbeat: an HTTP status and, with 200, the body that renews the worker's lease.
+struct HeartbeatResponse {
+  int status = 503;
+  Json body;
+};
+
+// Applies heartbeats to the machine table, in order of worker incarnation and sequence number.
+class HeartbeatProcessor {
+ public:
+  HeartbeatProcessor(LeaderState& state, WorkerCommands& commands, MachineLifecycle& lifecycle,
+                     AttemptTracker& attempts, BootMonitor& boots, InstanceInventory& inventory)
+      : state_(state),
+        context_(state.context),
+        commands_(commands),
+        lifecycle_(lifecycle),
+        attempts_(attempts),
+        boots_(boots),
+        inventory_(inventory) {}
+  HeartbeatProcessor(const HeartbeatProcessor&) = delete;
+
+  // A heartbeat sent to this controller or relayed by a sibling. Answered with 200 only if the worker's lease
+  // may be renewed.
+  HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source);
+  // Applies the content of a heartbeat, or of a worker's answer to a direct call, unless a newer one has been
+  // applied.
+  void apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat, Source source);
+
+ private:
+  // Whether the heartbeat is from a worker that this leader may answer.
+  bool mayAnswer(const wire::WorkerHeartbeat& heartbeat) const;
+  Machine& findOrAdd(const std::string& host);
+  void applyMachineFields(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  void onNewIncarnation(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  void applyFencingToken(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  void applySpotNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  // Adds an attempt that was reported but is not known, to be stopped.
+  Attempt& addStrayAttempt(Machine& machine, const wire::TaskStatus& status);
+  // Releases attempts that the heartbeat proves absent from the machine.
+  void reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  void reconcileMissing(Machine& machine, Attempt& attempt, std::uint64_t sequence);
+
+  LeaderState& state_;
+  Context& context_;
+  WorkerCommands& commands_;
+  MachineLifecycle& lifecycle_;
+  AttemptTracker& attempts_;
+  BootMonitor& boots_;
+  InstanceInventory& inventory_;
+};
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/instance_inventory.cpp
@@ -0,0 +1,88 @@
+#include "service/leader/instance_inventory.hpp"
+
+#include <algorithm>
+
+namespace reachhoist::service {
+
+namespace {
+// Heartbeat intervals after which a machine listed as running should have been heard from.
+constexpr double kListedSilentHeartbeats = 4;
+}  // namespace
+
+void InstanceInventory::addProvisioned(const cloud::PoolKey& pool, const std::string& host) {
+  if (state_.machines.find(host) != nullptr) return;  // its first heartbeat was faster than the answer
+  Machine& machine = state_.machines.add(host);
+  machine.machineType = pool.machineType;
+  machine.zone = pool.zone;
+  machine.spot = pool.spot;
+  machine.provisionedAt = context_.now;
+  machine.lastHeartbeatAt = context_.now;
+  machine.lastDirectContactAt = context_.now;
+  machine.leaseRenewedAt = context_.now;
+  lifecycle_.applyMachineType(machine);
+}
+
+void InstanceInventory::onReleased(const std::vector<std::string>& hosts) {
+  for (const std::string& host : hosts) {
+    Machine* machine = state_.machines.find(host);
+    if (machine == nullptr) continue;
+    attempts_.releaseAll(*machine, "machine gone");
+    machine->to(MachinePhase::terminated, context_.now);
+    for (const std::uint32_t batch : state_.batches.naming(host)) state_.staleBatches.insert(batch);
+    context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
+    // A placement whose transaction is in flight finds no machine to start on, as it should.
+    for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine gone");
+    state_.machines.remove(host);
+    releasedUntil_[host] = context_.now + constants::kReleasedHostMemory;
+  }
+  state_.requestPlacementRound();
+}
+
+void InstanceInventory::onListed(const std::vector<wire::HostEntry>& hosts) {
+  std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
+  for (const wire::HostEntry& entry : hosts) {
+    Machine* machine = state_.machines.find(entry.ref.text);
+    if (machine == nullptr) {
+      if (recentlyReleased(entry.ref.text)) continue;
+      machine = &addListed(entry);
+    }
+    reconcile(*machine, entry);
+  }
+}
+
+Machine& InstanceInventory::addListed(const wire::HostEntry& entry) {
+  Machine& machine = state_.machines.add(entry.ref.text);
+  machine.machineType = entry.machineType;
+  machine.zone = entry.zone;
+  machine.spot = entry.spot;
+  machine.endpoint = entry.endpoint;
+  machine.provisionedAt = context_.now - wire::seconds(entry.ageS);
+  machine.lastHeartbeatAt = context_.now;
+  machine.lastDirectContactAt = context_.now;
+  machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
+  lifecycle_.applyMachineType(machine);
+  // Nothing is placed on it, but under an earlier leader it was up: it will send heartbeats, and its age must
+  // not count as a boot time-out.
+  if (entry.stage == wire::HostStage::running) machine.to(MachinePhase::up, context_.now);
+  return machine;
+}
+
+void InstanceInventory::reconcile(Machine& machine, const wire::HostEntry& entry) {
+  if (machine.endpoint.empty()) machine.endpoint = entry.endpoint;
+  if (entry.stage == wire::HostStage::failed && machine.phase != MachinePhase::terminating &&
+      machine.phase != MachinePhase::terminated) {
+    context_.event(Level::info, "machine_failed", {{"machine", entry.ref.text}});
+    attempts_.releaseAll(machine, "machine failed");
+    lifecycle_.decommission(machine, "failed");
+  } else if (machine.phase == MachinePhase::booting && entry.stage == wire::HostStage::running) {
+    // Counted from the first list that said it runs: a machine that came up late has only just begun to send
+    // heartbeats.
+    if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
+    const double lagS = 2 * context_.settings.cloudListLagS;
+    const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.listeningSince());
+    if (wire::toSeconds(unheardFor) > lagS + kListedSilentHeartbeats * context_.settings.heartbeatIntervalS)
+      lifecycle_.decommission(machine, "listed as running but silent");
+  }
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/instance_inventory.hpp
@@ -0,0 +1,43 @@
+// Keeps the machine table in line with the cloud's instances.
+#pragma once
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "cloud/client.hpp"
+#include "service/leader/attempt_tracker.hpp"
+#include "service/leader/leader_state.hpp"
+#include "service/leader/machine_lifecycle.hpp"
+
+namespace reachhoist::service {
+
+// Adds machines that the cloud has provisioned or lists, and removes those it has released.
+class InstanceInventory {
+ public:
+  InstanceInventory(LeaderState& state, MachineLifecycle& lifecycle, AttemptTracker& attempts)
+      : state_(state), context_(state.context), lifecycle_(lifecycle), attempts_(attempts) {}
+  InstanceInventory(const InstanceInventory&) = delete;
+
+  // The cloud has provisioned the host in the pool.
+  void addProvisioned(const cloud::PoolKey& pool, const std::string& host);
+  // The cloud has confirmed the release of the hosts: what ran on them is proven gone.
+  void onReleased(const std::vector<std::string>& hosts);
+  // Reconciles the table with the cloud's instance list.
+  void onListed(const std::vector<wire::HostEntry>& hosts);
+  // Whether the host was released so recently that late heartbeats and older lists may still name it.
+  bool recentlyReleased(const std::string& host) const { return releasedUntil_.contains(host); }
+
+ private:
+  // Adds a listed host that no record and no answer of the cloud has named.
+  Machine& addListed(const wire::HostEntry& entry);
+  void reconcile(Machine& machine, const wire::HostEntry& entry);
+
+  LeaderState& state_;
+  Context& context_;
+  MachineLifecycle& lifecycle_;
+  AttemptTracker& attempts_;
+  std::map<std::string, Time> releasedUntil_;  // released hosts, remembered until then
+};
+
+}  // namespace reachhoist::service
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -5,6 +5,9 @@
 namespace reachhoist::service {
 
 namespace {
+// Heartbeat intervals within which a live worker finds a new leader.
+constexpr double kFirstHeartbeats = 1.5;
+
 std::size_t valueSizeLimitOf(const config::Settings& settings) {
   return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kBatchFill);
 }
@@ -45,6 +48,10 @@
   return confirmedSinceResume() && context.now - confirmedAt() < constants::kLeaderTtl;
 }
 
+bool LeaderState::heardFromWorkers() const {
+  return context.now - actingSince >= heartbeatTimeout(kFirstHeartbeats, 1);
+}
+
 std::vector<state::Condition> LeaderState::partitionConditions() const {
   std::vector<state::Condition> out;
   for (cluster::PartitionId partition = 0; partition < partitionRevisions_.size(); ++partition)
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -5,6 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 #include <functional>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -51,6 +52,12 @@
   bool confirmedSinceResume() const;
   // Since when heartbeats could arrive without interruption.
   Time listeningSince() const { return std::max(actingSince, context.resumedAt); }
+  // Whether all live workers have had the time for a heartbeat to this leader.
+  bool heardFromWorkers() const;
+  // The time that so many missed heartbeats take, plus a margin in seconds.
+  wire::Duration heartbeatTimeout(double missedHeartbeats, double marginS) const {
+    return wire::seconds(context.settings.heartbeatIntervalS * missedHeartbeats + marginS);
+  }
   // Until then an earlier leader may have renewed the lease of a worker not heard from in this term.
   Time inheritedLeaseRenewal() const { return electedAt + context.settings.answerWindow(); }
 
@@ -79,6 +86,7 @@
   const std::size_t valueSizeLimit;  // bytes that one stored value may hold, in JSON form
   machines::MachineTable machines;
   machines::PlacementBatchTable batches;
+  std::set<std::uint32_t> staleBatches;  // batches whose stored value names terminated machines
   bool placementRoundRequested = true;
 
  private:
--- /dev/null
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -0,0 +1,119 @@
+#include "service/leader/machine_lifecycle.hpp"
+
+#include <utility>
+
+namespace reachhoist::service {
+
+namespace {
+// Bytes that a host name takes in a JSON array beside its text: two quotes and a comma.
+constexpr std::size_t kJsonItemOverhead = 3;
+
+// Time in seconds that a single task gets for a checkpoint when it is stopped.
+double checkpointGraceS(const Attempt& attempt) { return attempt.saves ? attempt.checkpointS + 1 : 0; }
+}  // namespace
+
+MachineLifecycle::MachineLifecycle(LeaderState& state, WorkerCommands& commands, GangCoordinator& gangs,
+                                   cloud::Client& cloud)
+    : state_(state),
+      context_(state.context),
+      commands_(commands),
+      gangs_(gangs),
+      cloud_(cloud),
+      committer_(state.context.state, state.uniquePrefix() + "-r") {}
+
+void MachineLifecycle::applyMachineType(Machine& machine) const {
+  if (!context_.catalog) return;
+  for (const wire::MachineType& machineType : *context_.catalog) {
+    if (machineType.label != machine.machineType) continue;
+    machine.total = machineType.capacity;
+    machine.cacheGb = machineType.cacheGb;
+    machine.pullGbPerS = machineType.pullGbPerS;
+  }
+}
+
+void MachineLifecycle::drain(Machine& machine, const char* why, DrainMode mode) {
+  if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
+  machine.decommissionReason = why;
+  machine.to(MachinePhase::draining, context_.now);
+  context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
+  for (Attempt& attempt : machine.attempts) {
+    if (mode == DrainMode::graceful && !attempt.isService) continue;
+    gangs_.stop(machine, attempt, checkpointGraceS(attempt), constants::kNoHurryS, why);
+  }
+}
+
+void MachineLifecycle::decommission(Machine& machine, const char* why) {
+  if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
+  machine.decommissionReason = why;
+  machine.to(MachinePhase::decommissioning, context_.now);
+  context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
+}
+
+void MachineLifecycle::evictForSpotNotice(Machine& machine) {
+  const double leftS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
+  for (Attempt& attempt : machine.attempts) {
+    if (!attempt.holdsCapacity() || attempt.phase == AttemptPhase::planned) continue;
+    const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
+    const double expectS = job != nullptr ? job->spec.expectS : 0;
+    const bool running = attempt.phase == AttemptPhase::running;
+    const double ranS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
+    const bool endsInTime = !attempt.isService && running && expectS - ranS < leftS;
+    if (endsInTime) continue;
+    gangs_.stop(machine, attempt, checkpointGraceS(attempt), leftS, "spot notice");
+  }
+}
+
+void MachineLifecycle::advance() {
+  for (auto& [host, machine] : state_.machines.all()) {
+    if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
+      machine.to(MachinePhase::decommissioning, context_.now);
+    } else if (machine.phase == MachinePhase::up && machine.spotNoticeAt && machine.attempts.empty()) {
+      drain(machine, "spot notice");
+    }
+  }
+}
+
+void MachineLifecycle::writeDecommissioning() {
+  if (committer_.busy()) return;
+  std::vector<std::string> added;
+  // One key names every machine that is being released; terminated ones leave it with its next write.
+  Json names = Json::array();
+  std::size_t bytes = 0;
+  const auto fits = [&](const std::string& host) {
+    bytes += host.size() + kJsonItemOverhead;
+    return bytes < state_.valueSizeLimit;
+  };
+  for (const auto& [host, machine] : state_.machines.all())
+    if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
+  for (auto& [host, machine] : state_.machines.all()) {
+    if (machine.phase != MachinePhase::decommissioning || machine.recordBusy || !fits(host)) continue;
+    machine.recordBusy = true;
+    names.push_back(host);
+    added.push_back(host);
+  }
+  if (added.empty()) return;
+  state::Transaction transaction;
+  transaction.conditions = state_.partitionConditions();
+  transaction.conditions.push_back({kDecommissioningKey, revision_});
+  transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(names)}}, std::nullopt});
+  committer_.commit(
+      context_.now, state::Urgency::place, std::move(transaction),
+      [this, added](const state::Outcome& outcome) { onDecommissioningWritten(added, outcome); });
+}
+
+void MachineLifecycle::onDecommissioningWritten(const std::vector<std::string>& hosts,
+                                                const state::Outcome& outcome) {
+  const bool applied = outcome.verdict == state::Verdict::applied;
+  if (applied) revision_ = outcome.revision;
+  for (const std::string& host : hosts) {
+    Machine* machine = state_.machines.find(host);
+    if (machine == nullptr) continue;
+    machine->recordBusy = false;
+    if (!applied) continue;
+    machine->to(MachinePhase::terminating, context_.now);
+    cloud_.release(context_.now, host);
+  }
+  if (!applied) state_.onTransactionRefused(outcome, "retiring");
+}
+
+}  // namespace reachhoist::service
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -6,30 +6,9 @@
 
 namespace reachhoist::service {
 
-void Leader::describe(Machine& machine) {
-  if (!context_.catalog) return;
-  for (const wire::MachineType& machineType : *context_.catalog) {
-    if (machineType.label != machine.machineType) continue;
-    machine.total = machineType.capacity;
-    machine.cacheGb = machineType.cacheGb;
-    machine.pullGbPerS = machineType.pullGbPerS;
-  }
-}
-
 void Leader::onInstancesProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
                                     std::size_t refused) {
-  for (const std::string& host : hosts) {
-    if (state_.machines.find(host) != nullptr) continue;  // its worker was faster than the answer
-    Machine& machine = state_.machines.add(host);
-    machine.machineType = pool.machineType;
-    machine.zone = pool.zone;
-    machine.spot = pool.spot;
-    machine.provisionedAt = context_.now;
-    machine.lastHeartbeatAt = context_.now;
-    machine.lastDirectContactAt = context_.now;
-    machine.leaseRenewedAt = context_.now;
-    describe(machine);
-  }
+  for (const std::string& host : hosts) inventory_.addProvisioned(pool, host);
   const std::set<std::string> gangs = std::exchange(gangScaleOuts_[pool], {});
   if (refused > 0) {
     for (const std::string& ref : gangs)
@@ -43,123 +22,6 @@
   state_.requestPlacementRound();
 }
 
-void Leader::onInstancesReleased(const std::vector<std::string>& hosts) {
-  for (const std::string& host : hosts) {
-    Machine* machine = state_.machines.find(host);
-    if (machine == nullptr) continue;
-    freeAllAttempts(*machine, "machine gone");
-    machine->to(MachinePhase::terminated, context_.now);
-    for (const std::uint32_t page : state_.batches.naming(host)) staleBatches_.insert(page);
-    context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
-    // A placement whose outcome is still open finds nothing left to start, and that is right.
-    for (Attempt& attempt : machine->attempts) release(*machine, attempt, "machine gone");
-    state_.machines.remove(host);
-    releasedUntil_[host] = context_.now + constants::kReleasedHostMemory;
-  }
-  state_.requestPlacementRound();
-}
-
-void Leader::onInstancesListed(const std::vector<wire::HostEntry>& hosts) {
-  std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const wire::HostEntry& entry : hosts) {
-    Machine* machine = state_.machines.find(entry.ref.text);
-    const double lagS = 2 * context_.settings.cloudListLagS;
-    if (machine == nullptr) {
-      if (releasedUntil_.contains(entry.ref.text)) continue;
-      Machine& stranger = state_.machines.add(entry.ref.text);
-      stranger.machineType = entry.machineType;
-      stranger.zone = entry.zone;
-      stranger.spot = entry.spot;
-      stranger.endpoint = entry.endpoint;
-      stranger.provisionedAt = context_.now - wire::seconds(entry.ageS);
-      stranger.lastHeartbeatAt = context_.now;
-      stranger.lastDirectContactAt = context_.now;
-      stranger.leaseRenewedAt = state_.inheritedLeaseRenewal();
-      describe(stranger);
-      // Nothing is placed on it, but an earlier leader had it up: it will report, and must not be taken for
-      // one that never came up because of its age.
-      if (entry.stage == wire::HostStage::running) stranger.to(MachinePhase::up, context_.now);
-      machine = &stranger;
-    }
-    if (machine->endpoint.empty()) machine->endpoint = entry.endpoint;
-    if (entry.stage == wire::HostStage::failed && machine->phase != MachinePhase::terminating &&
-        machine->phase != MachinePhase::terminated) {
-      context_.event(Level::info, "machine_failed", {{"machine", entry.ref.text}});
-      freeAllAttempts(*machine, "machine failed");
-      decommission(*machine, "failed");
-    } else if (machine->phase == MachinePhase::booting && entry.stage == wire::HostStage::running) {
-      // Counted from when it was first said to run: one that came up late has only just begun to report.
-      if (machine->listedUpAt == Time{}) machine->listedUpAt = context_.now;
-      const auto silent = context_.now - std::max(machine->listedUpAt, state_.listeningSince());
-      if (wire::toSeconds(silent) > lagS + 4 * context_.settings.heartbeatIntervalS)
-        decommission(*machine, "listed as running but silent");
-    }
-  }
-}
-
-void Leader::drain(Machine& machine, const char* why, bool gently) {
-  if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
-  machine.decommissionReason = why;
-  machine.to(MachinePhase::draining, context_.now);
-  context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
-  for (Attempt& attempt : machine.attempts) {
-    if (gently && !attempt.isService) continue;
-    if (attempt.gang) {
-      stopGang(attempt.task.job.text, constants::kNoHurryS, why);
-    } else {
-      commands_.stop(machine, attempt, attempt.saves ? attempt.checkpointS + 1 : 0);
-    }
-  }
-}
-
-void Leader::decommission(Machine& machine, const char* why) {
-  if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
-  machine.decommissionReason = why;
-  machine.to(MachinePhase::decommissioning, context_.now);
-  context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
-}
-
-double Leader::bootSecondsOf(const Machine& machine) const {
-  if (!context_.catalog) return 0;
-  for (const wire::MachineType& machineType : *context_.catalog)
-    if (machineType.label == machine.machineType) return machineType.bootS;
-  return 0;
-}
-
-// What never comes up costs money until it is returned; where all boots are slow, giving up would throw away
-// what is about to come.
-void Leader::detectBootTimeouts() {
-  // What was reported while nobody listened arrives first.
-  if (context_.now - state_.listeningSince() <
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1))
-    return;
-  const fleet::BootCohorts cohorts(state_.existingMachines());
-  for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase != MachinePhase::booting) continue;
-    const auto age = context_.now - machine.provisionedAt;
-    const auto patience =
-        boots_.bootTimeout(machine.machineType, machine.zone, bootSecondsOf(machine), context_.now);
-    if (age <= patience) continue;
-    if (age <= constants::kBootAllSlow * patience && !cohorts.lagsCohort(machine)) continue;
-    boots_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
-    decommission(machine, "never came up");
-  }
-}
-
-void Leader::advanceDecommissioning() {
-  if (context_.now >= nextBootCheck_) {
-    nextBootCheck_ = context_.now + constants::kScaleOutEvery;
-    detectBootTimeouts();
-  }
-  for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
-      machine.to(MachinePhase::decommissioning, context_.now);
-    } else if (machine.phase == MachinePhase::up && machine.spotNoticeAt && machine.attempts.empty()) {
-      drain(machine, "spot notice");
-    }
-  }
-}
-
 std::vector<placement::UnplacedDemand> Leader::servicesAtRisk() {
   if (partitionDetector_.selfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasks;
@@ -178,9 +40,17 @@
 }
 
 fleet::FleetWorld Leader::fleetWorld() {
-  fleet::FleetWorld world{context_.settings,          *context_.catalog, context_.now, context_.wallMs,
-                          state_.existingMachines(),  unplaced_,         {},           {},
-                          partitionDetector_.zones(), servicesAtRisk(),  boots_};
+  fleet::FleetWorld world{context_.settings,
+                          *context_.catalog,
+                          context_.now,
+                          context_.wallMs,
+                          state_.existingMachines(),
+                          unplaced_,
+                          {},
+                          {},
+                          partitionDetector_.zones(),
+                          servicesAtRisk(),
+                          boots_.history()};
   std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
@@ -188,7 +58,7 @@
     for (const std::string& zone : machineType.zones) {
       for (const bool spot : {false, true}) {
         const cloud::PoolKey key{machineType.label, zone, spot};
-        if (const std::size_t count = cloud_->pending(key); count > 0) world.pending[key] = count;
+        if (const std::size_t count = cloud_.pending(key); count > 0) world.pending[key] = count;
       }
     }
   }
@@ -197,7 +67,7 @@
 
 void Leader::requestInstances(const cloud::PoolKey& pool, int count, const char* why) {
   context_.event(Level::info, "rent", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
-  cloud_->requestInstances(context_.now, pool, static_cast<std::size_t>(count));
+  cloud_.requestInstances(context_.now, pool, static_cast<std::size_t>(count));
 }
 
 void Leader::autoscale() {
@@ -220,7 +90,7 @@
         if (cloud::PoolKey{machine.machineType, machine.zone, machine.spot} != step.pool) continue;
         if (!spare.allowsRelease(machine)) break;
         spare.release(machine);
-        drain(machine, "step down");
+        lifecycle_.drain(machine, "step down");
         --left;
       }
     }
@@ -235,11 +105,12 @@
   }
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForReserve(world))
     requestInstances(rental.pool, rental.count, "reserve");
-  for (Machine* machine : fleet::idleScaleIn(world)) drain(*machine, "idle");
+  for (Machine* machine : fleet::idleScaleIn(world)) lifecycle_.drain(*machine, "idle");
   if (context_.now < nextConsolidation_ || context_.now - state_.actingSince < constants::kConsolidateMinAge)
     return;
   nextConsolidation_ = context_.now + constants::kConsolidateEvery;
-  for (Machine* machine : fleet::consolidationScaleIn(world)) drain(*machine, "vacated", true);
+  for (Machine* machine : fleet::consolidationScaleIn(world))
+    lifecycle_.drain(*machine, "vacated", DrainMode::graceful);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -43,7 +43,7 @@
       if (holdsService(attempt)) cpus += attempt.each.vcpus;
     if (cpus == 0 || cpus > capacity) continue;
     capacity -= cpus;
-    decommission(machine, "cut off");
+    lifecycle_.decommission(machine, "cut off");
   }
 }
 
@@ -85,34 +85,35 @@
   const bool settled = context_.now - state_.listeningSince() > silentFor && state_.holdsLeaderLease();
   if (partitionDetector_.mostlyIndirect()) probeRelayedWorkers();
   if (transferLeadership()) return;
-  reviewFaultyJobs();
+  failures_.reviewFaultyJobs();
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase == MachinePhase::terminated) continue;
-    quarantineIfFaulty(machine);
+    failures_.quarantineIfFaulty(machine);
     const bool over = context_.now - machine.leaseRenewedAt > settings.leaseOver();
     if (over && machine.phase != MachinePhase::booting &&
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& a) { return a.phase != AttemptPhase::planned; })) {
       context_.event(Level::info, "lease_over", {{"machine", host}});
-      freeAllAttempts(machine, "lease over");
+      attempts_.releaseAll(machine, "lease over");
     }
     if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) continue;
     const auto silent = context_.now - machine.lastHeartbeatAt;
     const bool cut = partitionDetector_.doubtful(machine.zone);
-    if (settled && silent > silentFor && (over || !cut)) decommission(machine, "silent");
+    if (settled && silent > silentFor && (over || !cut)) lifecycle_.decommission(machine, "silent");
     // Overdue and out of reach as well: no need to wait for a third report.
     if (settled && silent > probeAfter && !machine.probing && !machine.unreachable &&
         !machine.endpoint.empty() && commands_.mayCall()) {
       machine.probing = true;
       probe(machine);
     }
-    if (settled && machine.unreachable && silent > goneFor && !cut) decommission(machine, "unreachable");
+    if (settled && machine.unreachable && silent > goneFor && !cut)
+      lifecycle_.decommission(machine, "unreachable");
     // It reports, but nothing that we send arrives: its lease has run out, and it is of no use to anybody.
     const bool unacknowledged = !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
                                 context_.now - machine.unacknowledgedSince >
                                     settings.leaseOver() + constants::kUnacknowledgedPatience;
     if (settled && unacknowledged && machine.phase == MachinePhase::up)
-      decommission(machine, "acknowledges nothing");
+      lifecycle_.decommission(machine, "acknowledges nothing");
   }
   if (context_.now - state_.listeningSince() > goneFor && state_.holdsLeaderLease())
     moveServicesOffPartitions();
@@ -169,30 +170,11 @@
     if (result.status == 0) known->unreachable = true;
     auto heartbeat = wire::decodeHeartbeat(result.body);
     if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
-    applyHeartbeat(*known, *heartbeat, Source::direct);
+    heartbeats_.apply(*known, *heartbeat, Source::direct);
     known->unreachable = false;
     // An empty command brings the token.
     if (!known->tokenAcknowledged) commands_.markDue(*known);
   });
 }
 
-void Leader::onSpotNotice(Machine& machine) {
-  const double leftS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
-  for (Attempt& attempt : machine.attempts) {
-    if (!attempt.holdsCapacity() || attempt.phase == AttemptPhase::planned) continue;
-    const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-    const double expectS = job != nullptr ? job->spec.expectS : 0;
-    const double ranS =
-        attempt.phase == AttemptPhase::running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
-    const bool finishes =
-        !attempt.isService && attempt.phase == AttemptPhase::running && expectS - ranS < leftS;
-    if (finishes) continue;
-    if (attempt.gang) {
-      stopGang(attempt.task.job.text, leftS, "spot notice");
-    } else {
-      commands_.stop(machine, attempt, attempt.saves ? attempt.checkpointS + 1 : 0);
-    }
-  }
-}
-
 }  // namespace reachhoist::service
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -6,15 +6,6 @@
 
 namespace reachhoist::service {
 
-void Leader::scheduleForgetCommands() {
-  for (auto& [host, machine] : state_.machines.all()) {
-    const bool forgettable = std::any_of(machine.attempts.begin(), machine.attempts.end(),
-                                         [](const Attempt& a) { return a.phase == AttemptPhase::ended; });
-    // The next report's answer carries it: nobody waits for a forget command.
-    if (forgettable && machine.attempts.size() > constants::kEndedListedMost) commands_.markDue(machine);
-  }
-}
-
 // --- placement ---------------------------------------------------------------------------------------------
 
 placement::Plan Leader::planRound() {
@@ -48,11 +39,7 @@
     if (Attempt* attempt = command.machine->find(command.task, command.attempt)) {
       context_.event(Level::info, "preempt",
                      {{"task", command.task.str()}, {"machine", command.machine->host.text}});
-      if (attempt->gang) {
-        stopGang(attempt->task.job.text, constants::kNoHurryS, "preempted");
-      } else {
-        commands_.stop(*command.machine, *attempt, command.graceS);
-      }
+      gangs_.stop(*command.machine, *attempt, command.graceS, constants::kNoHurryS, "preempted");
     }
   }
   return plan;
@@ -85,11 +72,9 @@
     // A gang's places are taken in one decision, though they may need several transactions.
     if (!attempt.batch) reserving_.insert(spec.ref.text);
     // Unique for ever: no later life or leader gives the same number. A gang's tasks share theirs.
-    attempt.number = begun ? gang.number : cluster::token(state_.term, ++attempts_);
+    attempt.number = begun ? gang.number : cluster::token(state_.term, ++attemptCount_);
     if (attempt.gang && !begun) {
-      gang.number = attempt.number;
-      gang.partialScaleOuts = 0;
-      setGangState(*assignment.job, jobs::GangState::reserving, "room for all");
+      gangs_.beginAttempt(*assignment.job, attempt.number);
     }
     attempt.each = spec.each;
     attempt.team = spec.team;
@@ -110,6 +95,36 @@
   return hosts;
 }
 
+// Places that found no page in the round of their decision.
+void Leader::reserveRemainingGangTasks(std::set<std::uint32_t>& pages, std::set<std::string>& jobs,
+                                       std::set<std::string>& hosts) {
+  if (reserving_.empty()) return;
+  state_.batches.recountBytes(state_.machines);
+  for (auto at = reserving_.begin(); at != reserving_.end();) {
+    const std::string ref = *at;
+    bool more = false;
+    state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
+      if (attempt.phase != AttemptPhase::planned || attempt.batch) return;
+      if (attempt.stopWanted || machine.phase != MachinePhase::up) {
+        attempts_.release(machine, attempt, "not placed");
+        machine.recordBusy =
+            std::any_of(machine.attempts.begin(), machine.attempts.end(),
+                        [](const Attempt& other) { return other.phase == AttemptPhase::planned; });
+        return;
+      }
+      attempt.batch = state_.batches.place(machine, attempt, pages, constants::kBatchesPerRound);
+      if (!attempt.batch) {
+        more = true;
+        return;
+      }
+      machine.recordBusy = true;
+      hosts.insert(machine.host.text);
+      jobs.insert(ref);
+    });
+    at = more ? std::next(at) : reserving_.erase(at);
+  }
+}
+
 void Leader::placementRound() {
   if (placements_.busy()) return;
   std::set<std::uint32_t> pages;
@@ -122,17 +137,17 @@
     hosts = takeAssignments(planRound(), pages, jobs);
   }
   // Pages that name machines which are gone are written anew along with others, or by themselves in the end.
-  if (!staleBatches_.empty() && (!pages.empty() || context_.now >= nextClean_)) {
+  if (!state_.staleBatches.empty() && (!pages.empty() || context_.now >= nextClean_)) {
     state_.batches.recountBytes(state_.machines);
-    for (auto at = staleBatches_.begin();
-         at != staleBatches_.end() && pages.size() < constants::kBatchesPerRound;) {
+    for (auto at = state_.staleBatches.begin();
+         at != state_.staleBatches.end() && pages.size() < constants::kBatchesPerRound;) {
       if (!pages.contains(*at) &&
           !state_.batches.shrink(state_.machines, *at, pages, constants::kBatchesPerRound)) {
         ++at;  // what has moved off it is written first
         continue;
       }
       pages.insert(*at);
-      at = staleBatches_.erase(at);
+      at = state_.staleBatches.erase(at);
     }
   }
   if (pages.empty()) return;
@@ -179,57 +194,15 @@
         if (context_.logs(Level::debug))
           context_.event(Level::debug, "placed", {{"task", attempt.task.str()}, {"machine", host}});
       } else {
-        release(*machine, attempt, "not placed");
+        attempts_.release(*machine, attempt, "not placed");
       }
     }
-    eraseFreedAttempts(*machine);
+    AttemptTracker::eraseFreed(*machine);
     if (!machine->empty()) machine->idleSince = context_.now;
   }
   for (const std::string& ref : gangs)
-    if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open()) onGangRecorded(*job);
+    if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open()) gangs_.onTasksRecorded(*job);
   if (!applied) state_.onTransactionRefused(outcome, "placements");
 }
 
-// --- machines that go --------------------------------------------------------------------------------------
-
-// A lane of its own, as urgent as placements: until its return a machine is paid for, and what it held waits.
-void Leader::writeDecommissioning() {
-  if (decommissioning_.busy()) return;
-  std::vector<std::string> retiring;
-  // One key names every machine that is being returned; those that are gone leave it with its next writing.
-  Json names = Json::array();
-  std::size_t bytes = 0;
-  const auto fits = [&](const std::string& host) {
-    bytes += host.size() + 3;
-    return bytes < state_.valueSizeLimit;
-  };
-  for (const auto& [host, machine] : state_.machines.all())
-    if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
-  for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase != MachinePhase::decommissioning || machine.recordBusy || !fits(host)) continue;
-    machine.recordBusy = true;
-    names.push_back(host);
-    retiring.push_back(host);
-  }
-  if (retiring.empty()) return;
-  state::Transaction transaction;
-  transaction.conditions = state_.partitionConditions();
-  transaction.conditions.push_back({kDecommissioningKey, decommissioningRevision_});
-  transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(names)}}, std::nullopt});
-  decommissioning_.commit(context_.now, state::Urgency::place, std::move(transaction),
-                          [this, retiring](const state::Outcome& outcome) {
-                            const bool applied = outcome.verdict == state::Verdict::applied;
-                            if (applied) decommissioningRevision_ = outcome.revision;
-                            for (const std::string& host : retiring) {
-                              Machine* machine = state_.machines.find(host);
-                              if (machine == nullptr) continue;
-                              machine->recordBusy = false;
-                              if (!applied) continue;
-                              machine->to(MachinePhase::terminating, context_.now);
-                              cloud_->release(context_.now, host);
-                            }
-                            if (!applied) state_.onTransactionRefused(outcome, "retiring");
-                          });
-}
-
 }  // namespace reachhoist::service
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -94,6 +94,16 @@
   return forgets;
 }
 
+void WorkerCommands::scheduleForgets() {
+  for (auto& [host, machine] : machines_.all()) {
+    const bool forgettable =
+        std::any_of(machine.attempts.begin(), machine.attempts.end(),
+                    [](const Attempt& attempt) { return attempt.phase == AttemptPhase::ended; });
+    // Otherwise the answer to the next heartbeat carries it: nothing waits for a forget command.
+    if (forgettable && machine.attempts.size() > constants::kEndedListedMost) markDue(machine);
+  }
+}
+
 bool WorkerCommands::mayCall() const { return calls_ < context_.settings.workerCallsMost(); }
 
 void WorkerCommands::sendDirectCommands() {
--- a/src/service/worker_commands.hpp
+++ b/src/service/worker_commands.hpp
@@ -50,6 +50,8 @@
   // Everything that is due on the machine, noted as sent that way.
   std::vector<wire::Command> commandsFor(Machine& machine, Source via, std::uint64_t sequence);
   void sendDirectCommands();
+  // Lets direct commands carry the forget commands of machines that list too many ended attempts.
+  void scheduleForgets();
 
   // Calls to workers share the sockets, questions of others included.
   bool mayCall() const;
