--- /dev/null
+++ b/src/service/leader/autoscaler.cpp
@@ -0,0 +1,131 @@
+#include "service/leader/autoscaler.hpp"
+
+#include <utility>
+
+namespace reachhoist::service {
+
+Autoscaler::Autoscaler(LeaderState& state, MachineLifecycle& lifecycle, InstanceInventory& inventory,
+                       const BootMonitor& boots, const PlacementScheduler& scheduler,
+                       const ServiceFailover& failover, const PartitionDetector& partitions,
+                       cloud::Client& cloud)
+    : state_(state),
+      context_(state.context),
+      lifecycle_(lifecycle),
+      inventory_(inventory),
+      boots_(boots),
+      scheduler_(scheduler),
+      failover_(failover),
+      partitions_(partitions),
+      cloud_(cloud),
+      sizing_(state.context.settings, state.term),
+      sizingStore_(state, sizing_) {}
+
+void Autoscaler::tick() {
+  if (!context_.catalog || !state_.holdsLeaderLease()) return;
+  // Machines that are up make themselves known first; else a new leader would request the whole fleet again.
+  if (!state_.heardFromWorkers() && !state_.machines.all().empty()) return;
+  if (sizing_.due(context_.now)) sizingRound();
+  if (context_.now < nextScaleOut_) return;
+  nextScaleOut_ = context_.now + constants::kScaleOutEvery;
+  fleet::FleetWorld world = fleetWorld();
+  scaleOutForDemand(world);
+  for (Machine* machine : fleet::idleScaleIn(world)) lifecycle_.drain(*machine, "idle");
+  consolidate(world);
+}
+
+void Autoscaler::sizingRound() {
+  const fleet::FleetWorld world = fleetWorld();
+  fleet::Headroom headroom(world);
+  for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(world))) {
+    context_.event(
+        Level::info, "step",
+        {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
+    if (step.machines > 0) requestInstances(step.pool, step.machines, "step");
+    scaleIn(step.pool, -step.machines, headroom);
+  }
+}
+
+void Autoscaler::scaleIn(const cloud::PoolKey& pool, int count, fleet::Headroom& headroom) {
+  int left = count;
+  for (auto& [host, machine] : state_.machines.all()) {
+    if (left <= 0) return;
+    if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) continue;
+    if (fleet::poolOf(machine) != pool) continue;
+    if (!headroom.allowsRelease(machine)) return;
+    headroom.release(machine);
+    lifecycle_.drain(machine, "step down");
+    --left;
+  }
+}
+
+void Autoscaler::scaleOutForDemand(fleet::FleetWorld& world) {
+  for (const fleet::ScaleOutRequest& request : fleet::scaleOutForUnmetWork(world)) {
+    requestInstances(request.pool, request.count, "shortfall");
+    for (const jobs::Job* gang : request.gangs) waitingGangs_[request.pool].insert(gang->spec.ref.text);
+    world.pending[request.pool] += static_cast<std::size_t>(request.count);
+  }
+  for (const fleet::ScaleOutRequest& request : fleet::scaleOutForReserve(world))
+    requestInstances(request.pool, request.count, "reserve");
+}
+
+void Autoscaler::consolidate(const fleet::FleetWorld& world) {
+  if (context_.now < nextConsolidation_ || context_.now - state_.actingSince < constants::kConsolidateMinAge)
+    return;
+  nextConsolidation_ = context_.now + constants::kConsolidateEvery;
+  for (Machine* machine : fleet::consolidationScaleIn(world))
+    lifecycle_.drain(*machine, "vacated", DrainMode::graceful);
+}
+
+void Autoscaler::requestInstances(const cloud::PoolKey& pool, int count, const char* why) {
+  context_.event(Level::info, "rent", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
+  cloud_.requestInstances(context_.now, pool, static_cast<std::size_t>(count));
+}
+
+void Autoscaler::onProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
+                               std::size_t refused) {
+  for (const std::string& host : hosts) inventory_.addProvisioned(pool, host);
+  const std::set<std::string> gangs = std::exchange(waitingGangs_[pool], {});
+  if (refused > 0) {
+    for (const std::string& ref : gangs)
+      if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open())
+        job->gang.scaleOutFellShort(context_.now);
+    refusedUntil_[pool] = context_.now + constants::kRefusedPause;
+    if (hosts.empty()) sizing_.onScaleOutRefused(pool);
+  }
+  context_.event(Level::info, "rented",
+                 {{"pool", pool.str()}, {"machines", hosts.size()}, {"refused", refused}});
+  state_.requestPlacementRound();
+}
+
+fleet::FleetWorld Autoscaler::fleetWorld() {
+  fleet::FleetWorld world{context_.settings,
+                          *context_.catalog,
+                          context_.now,
+                          context_.wallMs,
+                          state_.existingMachines(),
+                          scheduler_.unplaced(),
+                          {},
+                          pendingByPool(),
+                          partitions_.zones(),
+                          failover_.servicesAtRisk(),
+                          boots_.history()};
+  std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
+  std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
+  for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
+  return world;
+}
+
+std::map<cloud::PoolKey, std::size_t> Autoscaler::pendingByPool() const {
+  std::map<cloud::PoolKey, std::size_t> pending;
+  for (const auto& machineType : *context_.catalog) {
+    for (const std::string& zone : machineType.zones) {
+      for (const bool spot : {false, true}) {
+        const cloud::PoolKey pool{machineType.label, zone, spot};
+        if (const std::size_t count = cloud_.pending(pool); count > 0) pending[pool] = count;
+      }
+    }
+  }
+  return pending;
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/autoscaler.hpp
@@ -0,0 +1,69 @@
+// Fleet autoscaling: instance requests for what the queues and the reserve need, and scale-in of machines
+// that are not needed.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "cloud/client.hpp"
+#include "fleet/sizing.hpp"
+#include "service/leader/boot_monitor.hpp"
+#include "service/leader/instance_inventory.hpp"
+#include "service/leader/leader_state.hpp"
+#include "service/leader/machine_lifecycle.hpp"
+#include "service/leader/placement_scheduler.hpp"
+#include "service/leader/service_failover.hpp"
+#include "service/leader/sizing_state_store.hpp"
+#include "service/partition_detector.hpp"
+
+namespace reachhoist::service {
+
+// Runs the sizing rounds and the rules beside them, and takes the answers to instance requests.
+class Autoscaler {
+ public:
+  Autoscaler(LeaderState& state, MachineLifecycle& lifecycle, InstanceInventory& inventory,
+             const BootMonitor& boots, const PlacementScheduler& scheduler, const ServiceFailover& failover,
+             const PartitionDetector& partitions, cloud::Client& cloud);
+  Autoscaler(const Autoscaler&) = delete;
+
+  // Loads the sizing state that an earlier leader has left.
+  void start() { sizingStore_.load(); }
+  // Runs the rounds that are due.
+  void tick();
+  // Saves the sizing state when it is due.
+  void saveSizingState() { sizingStore_.tick(); }
+  // The outcome of an instance request for the pool: the hosts provisioned, and how many were refused.
+  void onProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused);
+
+ private:
+  void sizingRound();
+  // Drains up to `count` idle machines of the pool, within the headroom.
+  void scaleIn(const cloud::PoolKey& pool, int count, fleet::Headroom& headroom);
+  void scaleOutForDemand(fleet::FleetWorld& world);
+  void consolidate(const fleet::FleetWorld& world);
+  void requestInstances(const cloud::PoolKey& pool, int count, const char* why);
+  fleet::FleetWorld fleetWorld();
+  // Instances requested, by pool, for which there is no answer yet.
+  std::map<cloud::PoolKey, std::size_t> pendingByPool() const;
+
+  LeaderState& state_;
+  Context& context_;
+  MachineLifecycle& lifecycle_;
+  InstanceInventory& inventory_;
+  const BootMonitor& boots_;
+  const PlacementScheduler& scheduler_;
+  const ServiceFailover& failover_;
+  const PartitionDetector& partitions_;
+  cloud::Client& cloud_;
+  fleet::Sizing sizing_;
+  SizingStateStore sizingStore_;
+  std::map<cloud::PoolKey, Time> refusedUntil_;
+  std::map<cloud::PoolKey, std::set<std::string>> waitingGangs_;  // gangs that wait for a pool's instances
+  Time nextScaleOut_{};
+  Time nextConsolidation_{};
+};
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/sizing_state_store.cpp
@@ -0,0 +1,31 @@
+#include "service/leader/sizing_state_store.hpp"
+
+#include <utility>
+
+namespace reachhoist::service {
+
+namespace {
+constexpr const char* kSizingStateKey = "fleet/learned";
+}  // namespace
+
+void SizingStateStore::load() {
+  nextSave_ = context_.now + constants::kCopyEvery;
+  context_.state.get(context_.now, state::Urgency::complete, kSizingStateKey,
+                     [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
+                       if (!alive.lock() || !result.ok()) return;
+                       const Json* value = wire::field(result.body, "value");
+                       if (value == nullptr || !sizing_.decode(*value))
+                         context_.event(Level::error, "bad_record", {{"key", kSizingStateKey}});
+                     });
+}
+
+void SizingStateStore::tick() {
+  if (context_.now < nextSave_) return;
+  nextSave_ = context_.now + constants::kCopyEvery;
+  state::Transaction transaction;
+  transaction.conditions = state_.partitionConditions();
+  transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
+  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/sizing_state_store.hpp
@@ -0,0 +1,31 @@
+// Keeps a copy of the sizing state in the key-value store for the next leader.
+#pragma once
+
+#include <memory>
+
+#include "fleet/sizing.hpp"
+#include "service/leader/leader_state.hpp"
+
+namespace reachhoist::service {
+
+// Loads the sizing state once and saves it every constants::kCopyEvery.
+class SizingStateStore {
+ public:
+  SizingStateStore(LeaderState& state, fleet::Sizing& sizing)
+      : state_(state), context_(state.context), sizing_(sizing) {}
+  SizingStateStore(const SizingStateStore&) = delete;
+
+  // Starts to load the stored copy. Nothing waits for it: until it is there, sizing follows the queues.
+  void load();
+  // Saves a copy when it is due.
+  void tick();
+
+ private:
+  LeaderState& state_;
+  Context& context_;
+  fleet::Sizing& sizing_;
+  Time nextSave_{};
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+};
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/state_loader.hpp
@@ -0,0 +1,77 @@
+// Loads the records of earlier leaders at the start of a term.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "cloud/client.hpp"
+#include "machines/placement_batches.hpp"
+#include "service/completion_records.hpp"
+#include "service/leader/gang_coordinator.hpp"
+#include "service/leader/leader_state.hpp"
+#include "service/leader/machine_lifecycle.hpp"
+
+namespace reachhoist::service {
+
+// Reads all record kinds from the key-value store and then hands them to the leader's components.
+class StateLoader {
+ public:
+  StateLoader(LeaderState& state, CompletionRecords& records, GangCoordinator& gangs,
+              MachineLifecycle& lifecycle, cloud::Client& cloud);
+  StateLoader(const StateLoader&) = delete;
+
+  // Sends reads that are due. When all records have been read, applies them and returns true; not to be
+  // called again after that.
+  bool tick();
+
+ private:
+  // In the order in which they are read.
+  enum class RecordKind { completions, jobs, placementBatches, decommissioning };
+  // A stored chunk of the completed tasks of a job array.
+  struct CompletionChunk {
+    std::string ref;
+    std::uint32_t chunk;
+    std::string hex;
+    std::uint64_t revision;
+  };
+
+  static std::string prefixOf(RecordKind kind);
+  // Reads each kind that is still missing from its beginning.
+  void startReads();
+  void startRead(RecordKind kind);
+  void confirmJobs();
+  void listRecords(RecordKind kind, const std::string& after);
+  void onRecordsListed(RecordKind kind, const wire::CallResult& result);
+  // `name`: the key without the prefix of its kind.
+  void adoptRecord(RecordKind kind, const std::string& name, const Json& value, std::uint64_t revision);
+  void adoptPlacementBatch(const std::string& name, const Json& value, std::uint64_t revision);
+  void adoptMachine(const machines::BatchedHost& record, std::uint32_t batch);
+  void adoptCompletionChunk(const std::string& name, const Json& value, std::uint64_t revision);
+  void adoptDecommissioning(const Json& value, std::uint64_t revision);
+
+  // Applies the records in the order in which they depend on each other.
+  void apply();
+  void applyCompletions();
+  void applyDecommissioning();
+  void applyMachines();
+  void applyAttempt(Attempt& attempt);
+
+  LeaderState& state_;
+  Context& context_;
+  CompletionRecords& records_;
+  GangCoordinator& gangs_;
+  MachineLifecycle& lifecycle_;
+  cloud::Client& cloud_;
+  std::set<RecordKind> missing_{RecordKind::completions, RecordKind::jobs, RecordKind::placementBatches,
+                                RecordKind::decommissioning};
+  int readsInFlight_ = 0;
+  Time retryAt_{};
+  std::vector<CompletionChunk> completionChunks_;
+  std::vector<std::string> decommissionedHosts_;
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+};
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/leader/worker_prober.cpp
@@ -0,0 +1,76 @@
+#include "service/leader/worker_prober.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace reachhoist::service {
+
+namespace {
+// Probes of unheard workers may take this fraction of the calls to workers.
+constexpr unsigned kUnheardCallsDivisor = 4;
+}  // namespace
+
+void WorkerProber::probeOverdue(Machine& machine) {
+  if (machine.probing || machine.unreachable || machine.endpoint.empty() || !commands_.mayCall()) return;
+  machine.probing = true;
+  probe(machine);
+}
+
+void WorkerProber::probeUnheard() {
+  if (context_.now - state_.actingSince < constants::kProbeUnheardAfter || !state_.holdsLeaderLease()) return;
+  unsigned left =
+      std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / kUnheardCallsDivisor);
+  for (auto& [host, machine] : state_.machines.all()) {
+    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
+        machine.endpoint.empty())
+      continue;
+    if (left-- == 0 || !commands_.mayCall()) return;
+    machine.probedUnheard = true;
+    probe(machine);
+  }
+}
+
+void WorkerProber::probeRelayed() {
+  std::size_t probed = 0;
+  const auto overdue = state_.heartbeatTimeout(constants::kQuietHeartbeats, 0.5);
+  for (auto& [host, machine] : state_.machines.all()) {
+    if (probed == constants::kDirectSamples || !commands_.mayCall()) return;
+    const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
+                         context_.now - machine.lastDirectContactAt > overdue;
+    if (machine.phase != MachinePhase::up || !relayed || machine.probing || machine.endpoint.empty())
+      continue;
+    machine.probing = true;
+    probe(machine);
+    ++probed;
+  }
+}
+
+void WorkerProber::probe(Machine& machine) {
+  commands_.callBegins();
+  wire::Call call;
+  call.to = wire::Service::worker;
+  call.endpoint = machine.endpoint;
+  call.method = "GET";
+  call.path = "/inspect";
+  call.timeout = constants::kWorkerTimeout;
+  context_.calls.start(std::move(call), [this, host = machine.host.text,
+                                         alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
+    if (alive.lock()) onAnswer(host, result);
+  });
+}
+
+void WorkerProber::onAnswer(const std::string& host, const wire::CallResult& result) {
+  commands_.callEnds();
+  Machine* machine = state_.machines.find(host);
+  if (machine == nullptr) return;
+  machine->probing = false;
+  if (result.status == 0) machine->unreachable = true;
+  const auto heartbeat = wire::decodeHeartbeat(result.body);
+  if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
+  heartbeats_.apply(*machine, *heartbeat, Source::direct);
+  machine->unreachable = false;
+  // Even without commands the call brings the fencing token.
+  if (!machine->tokenAcknowledged) commands_.markDue(*machine);
+}
+
+}  // namespace reachhoist::service
