--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -9,20 +9,13 @@
                std::uint64_t term, std::vector<std::uint64_t> partitionRevisions)
     : context_(context),
       state_(context, leadership, jobFeed, jobs, term, std::move(partitionRevisions)),
-      commands_(context, state_.machines, term,
-                {[this] { return state_.mayRenewLeases(); }, [this] { return state_.holdsLeaderLease(); },
-                 [this](const Attempt& attempt) { return gangs_.mayStart(attempt); },
-                 [this](const wire::TaskId& task) { return records_.isDurable(task); },
-                 [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
-                   heartbeats_.apply(machine, heartbeat, Source::direct);
-                 },
-                 [this] { state_.requestPlacementRound(); }}),
-      records_(context, jobs, state_.uniquePrefix(),
-               {[this] { return state_.partitionConditions(); },
-                [this](const state::Outcome& outcome, const char* what) {
-                  state_.onTransactionRefused(outcome, what);
-                },
-                [this](jobs::Job& job) { onJobEnded(job); }, [this] { commands_.scheduleForgets(); }}),
+      commands_(state_, {[this](const Attempt& attempt) { return gangs_.mayStart(attempt); },
+                         [this](const wire::TaskId& task) { return records_.isDurable(task); },
+                         [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
+                           heartbeats_.apply(machine, heartbeat, HeartbeatSource::direct);
+                         }}),
+      records_(state_,
+               {[this](jobs::Job& job) { onJobEnded(job); }, [this] { commands_.scheduleForgets(); }}),
       gangs_(state_, commands_, records_),
       cloud_(context.calls, context.settings, state_.uniquePrefix(),
              {[this](const auto& pool, const auto& hosts, std::size_t refused) {
@@ -97,7 +90,7 @@
   if (!state_.resigned()) commands_.sendDirectCommands();
 }
 
-HeartbeatResponse Leader::onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source) {
+HeartbeatResponse Leader::onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
   if (phase_ != Phase::acting) return {};
   return heartbeats_.onHeartbeat(heartbeat, source);
 }
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -7,11 +7,11 @@
 #include <vector>
 
 #include "cloud/client.hpp"
-#include "service/completion_records.hpp"
 #include "service/context.hpp"
 #include "service/leader/attempt_tracker.hpp"
 #include "service/leader/autoscaler.hpp"
 #include "service/leader/boot_monitor.hpp"
+#include "service/leader/completion_records.hpp"
 #include "service/leader/failure_detector.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/heartbeat_processor.hpp"
@@ -22,9 +22,9 @@
 #include "service/leader/service_failover.hpp"
 #include "service/leader/state_loader.hpp"
 #include "service/leader/task_failure_policy.hpp"
+#include "service/leader/worker_commands.hpp"
 #include "service/leader/worker_prober.hpp"
 #include "service/partition_detector.hpp"
-#include "service/worker_commands.hpp"
 
 namespace reachhoist::service {
 
@@ -32,7 +32,7 @@
 // when it is deposed; first loads the records of earlier leaders. Not thread-safe.
 class Leader {
  public:
-  using Source = service::Source;
+  using Source = HeartbeatSource;
 
   // `partitionRevisions`: revision of each partition's key as this leader acquired it, by partition id.
   Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
@@ -48,7 +48,7 @@
   // The job's final phase is durable: stops what is left of it.
   void onJobEnded(jobs::Job& job);
   // A heartbeat of a worker, sent to this controller or relayed by a sibling. 503 unless it may be answered.
-  HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source);
+  HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
   // This process goes on after it has stood still for this long.
   void resumed(wire::Duration away);
 
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -121,7 +121,7 @@
   if (job.isGang()) return gangs_.complete(job);
   job.to(task.index, jobs::TaskPhase::completed, context_.now);
   if (job.failures.jobAtFault()) job.failures.reset();
-  records_.completed(task);
+  records_.taskCompleted(task);
   state_.requestPlacementRound();
 }
 
--- a/src/service/leader/attempt_tracker.hpp
+++ b/src/service/leader/attempt_tracker.hpp
@@ -1,7 +1,7 @@
 // The phases of task attempts as workers report them, and what follows for their tasks.
 #pragma once
 
-#include "service/completion_records.hpp"
+#include "service/leader/completion_records.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
 #include "service/leader/task_failure_policy.hpp"
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -102,7 +102,7 @@
   setState(job, GangState::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
     job.to(index, jobs::TaskPhase::completed, context_.now);
-  records_.finished(job.spec.ref.text);
+  records_.jobFinished(job.spec.ref.text);
   state_.requestPlacementRound();
 }
 
--- a/src/service/leader/gang_coordinator.hpp
+++ b/src/service/leader/gang_coordinator.hpp
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <string>
 
-#include "service/completion_records.hpp"
+#include "service/leader/completion_records.hpp"
 #include "service/leader/leader_state.hpp"
-#include "service/worker_commands.hpp"
+#include "service/leader/worker_commands.hpp"
 
 namespace reachhoist::service {
 
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -14,7 +14,8 @@
 }
 }  // namespace
 
-HeartbeatResponse HeartbeatProcessor::onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source) {
+HeartbeatResponse HeartbeatProcessor::onHeartbeat(const wire::WorkerHeartbeat& heartbeat,
+                                                  HeartbeatSource source) {
   if (state_.resigned()) return {};
   if (!state_.mayRenewLeases()) {
     // The machine is alive all the same: those that kept sending during a long outage of the key-value store
@@ -71,11 +72,12 @@
                   {"after_s", wire::toSeconds(context_.now - machine.provisionedAt)}});
 }
 
-void HeartbeatProcessor::apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat, Source source) {
+void HeartbeatProcessor::apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                               HeartbeatSource source) {
   if (!isNewer(machine, heartbeat)) return;
   if (heartbeat.incarnation > machine.incarnation) onNewIncarnation(machine, heartbeat);
   machine.sequence = heartbeat.sequence;
-  if (source != Source::relay) machine.lastDirectContactAt = context_.now;
+  if (source != HeartbeatSource::relay) machine.lastDirectContactAt = context_.now;
   applyFencingToken(machine, heartbeat);
   applySpotNotice(machine, heartbeat);
   for (const wire::TaskStatus& status : heartbeat.tasks) {
@@ -83,7 +85,7 @@
     if (attempt == nullptr) attempt = &addStrayAttempt(machine, status);
     attempts_.applyStatus(machine, *attempt, status);
   }
-  if (source != Source::direct) reconcileMissingAttempts(machine, heartbeat);
+  if (source != HeartbeatSource::direct) reconcileMissingAttempts(machine, heartbeat);
   AttemptTracker::eraseFreed(machine);
   if (!machine.empty()) machine.idleSince = context_.now;
 }
--- a/src/service/leader/heartbeat_processor.hpp
+++ b/src/service/leader/heartbeat_processor.hpp
@@ -6,7 +6,7 @@
 #include "service/leader/instance_inventory.hpp"
 #include "service/leader/leader_state.hpp"
 #include "service/leader/machine_lifecycle.hpp"
-#include "service/worker_commands.hpp"
+#include "service/leader/worker_commands.hpp"
 
 namespace reachhoist::service {
 
@@ -32,10 +32,10 @@
 
   // A heartbeat sent to this controller or relayed by a sibling. Answered with 200 only if the worker's lease
   // may be renewed.
-  HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, Source source);
+  HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
   // Applies the content of a heartbeat, or of a worker's answer to a direct call, unless a newer one has been
   // applied.
-  void apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat, Source source);
+  void apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
 
  private:
   // Whether the heartbeat is from a worker that this leader may answer.
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -5,6 +5,7 @@
 namespace reachhoist::service {
 
 namespace {
+constexpr const char* kJobKeyPrefix = "jobs/";
 // Heartbeat intervals within which a live worker finds a new leader.
 constexpr double kFirstHeartbeats = 1.5;
 
@@ -61,7 +62,7 @@
 
 void LeaderState::onTransactionRefused(const state::Outcome& outcome, const char* what) {
   for (const std::string& key : outcome.failed) {
-    if (key.starts_with("jobs/")) {
+    if (key.starts_with(kJobKeyPrefix)) {
       jobFeed.confirm(context.now, [](bool) {});
     } else if (jobs::endedDoneKey(jobs, key)) {
       // Its job became final while this transaction was queued, and its progress records were deleted.
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -8,7 +8,7 @@
 #include "cloud/client.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
-#include "service/worker_commands.hpp"
+#include "service/leader/worker_commands.hpp"
 #include "state/transaction.hpp"
 
 namespace reachhoist::service {
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -16,7 +16,7 @@
       gangs_(gangs),
       attempts_(attempts),
       committer_(state.context.state, state.uniquePrefix() + "-p"),
-      shares_(state.context) {}
+      shares_(state) {}
 
 void PlacementScheduler::startRound() {
   if (committer_.busy()) return;
@@ -32,8 +32,7 @@
 }
 
 void PlacementScheduler::updateShares() {
-  shares_.tick(state_.machines, state_.jobs, state_.holdsLeaderLease(),
-               [this] { return state_.partitionConditions(); });
+  shares_.tick();
   if (shares_.tableChanged()) state_.requestPlacementRound();
 }
 
@@ -65,7 +64,7 @@
   }
   world.machines = state_.existingMachines();
   placement::Plan plan = placement::plan(world);
-  shares_.planned(plan);
+  shares_.onPlanned(plan);
   unplaced_ = std::move(plan.unplaced);
   // Waiting work is looked at again when something has changed, or when time alone may have changed it.
   const bool idle = plan.assignments.empty() && plan.stops.empty();
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -12,8 +12,8 @@
 #include "service/leader/attempt_tracker.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
-#include "service/shares.hpp"
-#include "service/worker_commands.hpp"
+#include "service/leader/round_shares.hpp"
+#include "service/leader/worker_commands.hpp"
 #include "state/transaction.hpp"
 
 namespace reachhoist::service {
@@ -71,7 +71,7 @@
   GangCoordinator& gangs_;
   AttemptTracker& attempts_;
   state::Committer committer_;
-  SharesInRounds shares_;
+  RoundShares shares_;
   std::uint64_t attemptCount_ = 0;
   std::vector<placement::UnplacedDemand> unplaced_;
   std::set<std::string> reservingGangs_;  // gangs with tasks whose placement is in no transaction yet
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -225,7 +225,7 @@
   }
   completionChunks_.clear();
   for (const std::string& ref : state_.jobs.open())
-    if (state_.jobs.find(ref)->finished()) records_.finished(ref);
+    if (state_.jobs.find(ref)->finished()) records_.jobFinished(ref);
 }
 
 void StateLoader::applyDecommissioning() {
--- a/src/service/leader/state_loader.hpp
+++ b/src/service/leader/state_loader.hpp
@@ -9,7 +9,7 @@
 
 #include "cloud/client.hpp"
 #include "machines/placement_batches.hpp"
-#include "service/completion_records.hpp"
+#include "service/leader/completion_records.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
 #include "service/leader/machine_lifecycle.hpp"
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -67,7 +67,7 @@
   if (result.status == 0) machine->unreachable = true;
   const auto heartbeat = wire::decodeHeartbeat(result.body);
   if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
-  heartbeats_.apply(*machine, *heartbeat, Source::direct);
+  heartbeats_.apply(*machine, *heartbeat, HeartbeatSource::direct);
   machine->unreachable = false;
   // Even without commands the call brings the fencing token.
   if (!machine->tokenAcknowledged) commands_.markDue(*machine);
--- a/src/service/leader/worker_prober.hpp
+++ b/src/service/leader/worker_prober.hpp
@@ -6,7 +6,7 @@
 
 #include "service/leader/heartbeat_processor.hpp"
 #include "service/leader/leader_state.hpp"
-#include "service/worker_commands.hpp"
+#include "service/leader/worker_commands.hpp"
 
 namespace reachhoist::service {
 
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -7,8 +7,14 @@
 using machines::MachinePhase;
 
 namespace {
-// Nearly all: three quarters.
-bool nearlyAll(int part, int whole) { return part * 4 > whole * 3; }
+// More than three quarters.
+bool nearlyAll(int count, int total) { return count * 4 > total * 3; }
+// More than half.
+bool most(int count, int total) { return count * 2 > total; }
+// Fewer than a tenth.
+bool hardlyAny(int count, int total) { return count * 10 < total; }
+// Whether so many machines of a zone suggest that the zone is partitioned.
+bool suggestsPartition(int count, int up) { return count > 1 && count > up * constants::kCutShare; }
 }  // namespace
 
 void PartitionDetector::Count::add(const Count& other) {
@@ -28,7 +34,7 @@
   return out;
 }
 
-void PartitionDetector::keep(Time& begin, bool holds, Time now) {
+void PartitionDetector::trackSince(Time& begin, bool holds, Time now) {
   if (!holds) {
     begin = Time{};
   } else if (begin == Time{}) {
@@ -39,7 +45,7 @@
 void PartitionDetector::reset() {
   zones_.clear();
   doubtful_.clear();
-  until_.clear();
+  partitionedUntil_.clear();
   selfPartitioned_ = mostlyIndirect_ = false;
   selfPartitionedSince_ = unreachedSince_ = unheardSince_ = Time{};
 }
@@ -53,26 +59,33 @@
     zones[machine.zone].add(one);
     all.add(one);
   }
-  // A cut silences all of a zone within a report interval. It is believed for a while, since relay brings its
-  // machines back one by one.
-  const auto believed = wire::seconds(settings_.heartbeatIntervalS * constants::kGoneHeartbeats);
+  observeZones(zones, now);
+  observeFleet(all, now);
+}
+
+void PartitionDetector::observeZones(const std::map<std::string, Count>& zones, Time now) {
+  // A network partition makes all machines of a zone quiet within a heartbeat interval. The zone counts as
+  // partitioned for a while after that, since relay brings its machines back one by one.
+  const auto rememberFor = wire::seconds(settings_.heartbeatIntervalS * constants::kGoneHeartbeats);
   doubtful_.clear();
   for (const auto& [zone, count] : zones) {
-    if (count.quiet > 1 && count.quiet > count.up * constants::kCutShare) until_[zone] = now + believed;
-    if (count.indirect > 1 && count.indirect > count.up * constants::kCutShare) doubtful_.insert(zone);
+    if (suggestsPartition(count.quiet, count.up)) partitionedUntil_[zone] = now + rememberFor;
+    if (suggestsPartition(count.indirect, count.up)) doubtful_.insert(zone);
   }
-  std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; });
+  std::erase_if(partitionedUntil_, [now](const auto& entry) { return entry.second <= now; });
   zones_.clear();
-  for (const auto& [zone, until] : until_) zones_.insert(zone);
+  for (const auto& [zone, until] : partitionedUntil_) zones_.insert(zone);
+}
+
+void PartitionDetector::observeFleet(const Count& all, Time now) {
   selfPartitioned_ = nearlyAll(all.quiet, all.up);
-  // Machines that were never heard under this term may as well be dead, and then the next leader would do no
-  // better.
+  // Machines never heard from in this term may as well be dead, and then the next leader would do no better.
   const bool enough = all.up >= constants::kSelfCutLeast;
-  const bool mostHeard = all.heard * 2 > all.up;
-  keep(selfPartitionedSince_, selfPartitioned_ && enough && mostHeard, now);
+  const bool mostHeard = most(all.heard, all.up);
+  trackSince(selfPartitionedSince_, selfPartitioned_ && enough && mostHeard, now);
   mostlyIndirect_ = nearlyAll(all.indirect, all.up) && all.quiet < all.indirect && enough && mostHeard;
-  keep(unreachedSince_, mostlyIndirect_ && all.indirect == all.up, now);
-  keep(unheardSince_, enough && all.heard * 10 < all.up, now);
+  trackSince(unreachedSince_, mostlyIndirect_ && all.indirect == all.up, now);
+  trackSince(unheardSince_, enough && hardlyAny(all.heard, all.up), now);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/partition_detector.hpp
+++ b/src/service/partition_detector.hpp
@@ -18,19 +18,19 @@
 
   explicit PartitionDetector(const config::Settings& settings) : settings_(settings) {}
 
-  // Looks at all machines anew.
+  // Updates the conclusions from the present state of all machines.
   void observe(const machines::MachineTable& machines, Time now);
-  // Forgets what was concluded so far: this process was not listening.
+  // Drops all conclusions: this process was not listening.
   void reset();
 
-  // Zones that are taken to be partitioned: most of their machines are quiet.
+  // Zones that count as partitioned: most of their machines are quiet, or were a short time ago.
   const std::set<std::string>& zones() const { return zones_; }
   bool contains(const std::string& zone) const { return zones_.contains(zone); }
-  // Most machines of the zone are quiet or heard through siblings: the others may be on their way there too.
+  // Most machines of the zone are quiet or heard through siblings only: the others may soon be as well.
   bool doubtful(const std::string& zone) const { return contains(zone) || doubtful_.contains(zone); }
   // Nearly all machines are quiet, wherever they are: it is this controller that is partitioned.
   bool selfPartitioned() const { return selfPartitioned_; }
-  // For how long that has been so, of machines that had been heard from; zero if it is not.
+  // For how long that has been so with machines that had been heard from; zero if it is not so.
   wire::Duration selfPartitionedFor(Time now) const { return since(selfPartitionedSince_, now); }
   // Nearly all machines are quiet or heard through siblings.
   bool mostlyIndirect() const { return mostlyIndirect_; }
@@ -41,23 +41,25 @@
 
  private:
   struct Count {
-    int up = 0;
-    int quiet = 0;
+    int up = 0;        // machines that are up or draining
+    int quiet = 0;     // whose heartbeat is overdue
     int indirect = 0;  // quiet, or heard through siblings only
-    int heard = 0;     // ever, under this term
+    int heard = 0;     // heard from in this term
     void add(const Count& other);
   };
   Count countOf(const machines::Machine& machine, Time now) const;
   static wire::Duration since(Time begin, Time now) {
     return begin == Time{} ? wire::Duration{0} : now - begin;
   }
-  // Keeps the moment at which a condition began to hold.
-  static void keep(Time& begin, bool holds, Time now);
+  // Keeps the time since which a condition holds; unset while it does not.
+  static void trackSince(Time& begin, bool holds, Time now);
+  void observeZones(const std::map<std::string, Count>& zones, Time now);
+  void observeFleet(const Count& all, Time now);
 
   const config::Settings& settings_;
   std::set<std::string> zones_;
   std::set<std::string> doubtful_;
-  std::map<std::string, Time> until_;
+  std::map<std::string, Time> partitionedUntil_;  // by zone
   bool selfPartitioned_ = false;
   bool mostlyIndirect_ = false;
   Time selfPartitionedSince_{};
