--- /dev/null
+++ b/src/service/catalog_loader.cpp
@@ -0,0 +1,54 @@
+#include "service/catalog_loader.hpp"
+
+#include <utility>
+
+namespace reachhoist::service {
+
+namespace {
+constexpr const char* kCatalogKey = "catalog";
+}  // namespace
+
+void CatalogLoader::tick() {
+  if (context_.catalog || requestInFlight_ || context_.now < retryAt_) return;
+  requestInFlight_ = true;
+  wire::Call call;
+  call.to = wire::Service::cloud;
+  call.endpoint = context_.settings.cloudEndpoint;
+  call.method = "GET";
+  call.path = "/catalog";
+  call.timeout = constants::kCloudTimeout;
+  context_.calls.start(std::move(call), [this](const wire::CallResult& result) { onCloudResponse(result); });
+}
+
+void CatalogLoader::onCloudResponse(const wire::CallResult& result) {
+  requestInFlight_ = false;
+  retryAt_ = context_.now + constants::kCatalogRetry;
+  auto catalog = wire::decodeCatalog(result.body);
+  if (!result.ok() || !catalog) return loadCopy();
+  context_.catalog = std::move(*catalog);
+  storeCopy();
+}
+
+void CatalogLoader::storeCopy() {
+  state::Transaction transaction;
+  transaction.writes.push_back({kCatalogKey, wire::encodeCatalog(*context_.catalog), std::nullopt});
+  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+}
+
+void CatalogLoader::loadCopy() {
+  context_.state.get(context_.now, state::Urgency::place, kCatalogKey,
+                     [this](const wire::CallResult& stored) { onCopy(stored); });
+}
+
+void CatalogLoader::onCopy(const wire::CallResult& stored) {
+  const Json* value = wire::field(stored.body, "value");
+  if (!stored.ok() || value == nullptr || context_.catalog) return;
+  auto catalog = wire::decodeCatalog(*value);
+  if (!catalog) {
+    context_.event(Level::error, "bad_record", {{"key", kCatalogKey}, {"why", catalog.reason()}});
+    return;
+  }
+  context_.catalog = std::move(*catalog);
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/context.cpp
@@ -0,0 +1,33 @@
+#include "service/context.hpp"
+
+#include <utility>
+
+namespace reachhoist::service {
+
+Context::Context(const config::Settings& controllerSettings, Level logLevel, LogSink sink)
+    : settings(controllerSettings), state(calls, settings), level(logLevel), logSink(std::move(sink)) {}
+
+void Context::event(Level of, std::string_view name, std::initializer_list<LogField> fields) const {
+  if (!logs(of)) return;
+  std::string line = "event=" + std::string(name);
+  for (const LogField& field : fields) line.append(" ").append(field.key).append("=").append(field.value);
+  logSink(of, line);
+}
+
+void Context::reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS) {
+  replies.push_back(Reply{request, status, std::move(body), retryAfterS});
+}
+
+void Context::later(std::uint64_t request) {
+  reply(request, 503, Json{{"error", "try again"}}, constants::kRetryAfterS);
+}
+
+void Context::sendTo(const std::string& sibling, peer::Payload payload) {
+  peerOut.push_back(PeerSend{sibling, peer::Message{settings.label, std::move(payload)}});
+}
+
+void Context::broadcast(const peer::Payload& payload) {
+  for (const config::Sibling& sibling : settings.siblings) sendTo(sibling.label, payload);
+}
+
+}  // namespace reachhoist::service
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -1,4 +1,5 @@
-// What every part of one controller's decisions shares: settings, time, calls, answers and the log.
+// State shared by all components of one controller: settings, current time, outgoing calls, replies, messages
+// to siblings, and the log.
 #pragma once
 
 #include <functional>
@@ -19,63 +20,72 @@
 using wire::Json;
 using wire::Time;
 
+// Log levels, most important first.
 enum class Level { error, info, debug };
 
+// An HTTP response to one request of a user or worker.
 struct Reply {
-  std::uint64_t request = 0;
-  int status = 503;
-  Json body;
-  std::optional<int> retryAfterS;
+  std::uint64_t request = 0;       // number of the request, as given in Request
+  int status = 503;                // HTTP status
+  Json body;                       // null: no body
+  std::optional<int> retryAfterS;  // Retry-After header in seconds
 };
 
+// A message to one sibling.
 struct PeerSend {
-  std::string to;
+  std::string to;  // label of the sibling
   peer::Message message;
 };
 
+// One key=value pair of a log line.
 struct LogField {
   std::string_view key;
   std::string value;
-  LogField(std::string_view k, std::string v) : key(k), value(std::move(v)) {}
-  LogField(std::string_view k, const char* v) : key(k), value(v) {}
+  LogField(std::string_view name, std::string text) : key(name), value(std::move(text)) {}
+  LogField(std::string_view name, const char* text) : key(name), value(text) {}
   template <class Number>
-  requires std::is_arithmetic_v<Number> LogField(std::string_view k, Number v)
-      : key(k), value(std::to_string(v)) {}
+  requires std::is_arithmetic_v<Number> LogField(std::string_view name, Number number)
+      : key(name), value(std::to_string(number)) {}
 };
 
+// Components read the time and queue their output here; Controller::drain() takes the output. Not
+// thread-safe.
 struct Context {
   using LogSink = std::function<void(Level, const std::string&)>;
 
-  Context(const config::Settings& s, Level l, LogSink sink)
-      : settings(s), state(calls, settings), level(l), logSink(std::move(sink)) {}
+  // `controllerSettings` must outlive the context. Lines above `logLevel` are dropped.
+  Context(const config::Settings& controllerSettings, Level logLevel, LogSink sink);
   Context(const Context&) = delete;
 
   const config::Settings& settings;
-  wire::Calls calls;
-  state::Client state;
-  Time now{};
-  std::int64_t wallMs = 0;
-  // When this process last went on after it had stood still while the clocks ran: what was known before is
-  // void.
+  wire::Calls calls;        // calls to outside systems that are queued or in flight
+  state::Client state;      // client of the key-value store
+  Time now{};               // steady time of the event that is being handled
+  std::int64_t wallMs = 0;  // the same as milliseconds since the Unix epoch
+  // When this process last resumed after it had been suspended while the clocks ran on. What was heard before
+  // says nothing about the present.
   Time resumedAt{};
-  Time siblingHeardAt{};      // the latest word of any sibling
-  Time siblingConfirmedAt{};  // the latest word of one that has the state service
-  std::optional<std::vector<wire::MachineType>> catalog;
-  std::optional<shares::Table> shares;  // in force; none: nothing is divided
-  std::vector<Reply> replies;
-  std::vector<PeerSend> peerOut;
+  Time siblingHeardAt{};      // latest heartbeat of any sibling
+  Time siblingConfirmedAt{};  // latest heartbeat of a sibling that reaches the key-value store
+  std::optional<std::vector<wire::MachineType>> catalog;  // machine types; none until they are known
+  std::optional<shares::Table> shares;                    // fair-share table in force; none: shares are off
+  std::vector<Reply> replies;                             // responses to be sent
+  std::vector<PeerSend> peerOut;                          // messages to be sent to siblings
   Level level;
   LogSink logSink;
 
+  // Whether lines of this level are logged; guards the building of costly fields.
   bool logs(Level of) const { return of <= level; }
-  // One line per event: event=NAME key=value ...
+  // Logs one line: event=NAME key=value ...
   void event(Level of, std::string_view name, std::initializer_list<LogField> fields = {}) const;
-  void reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS = std::nullopt) {
-    replies.push_back(Reply{request, status, std::move(body), retryAfterS});
-  }
-  void later(std::uint64_t request) {
-    reply(request, 503, Json{{"error", "try again"}}, constants::kRetryAfterS);
-  }
+  // Queues a response to a request.
+  void reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS = std::nullopt);
+  // Answers 503 with Retry-After: the request may succeed when it is repeated.
+  void later(std::uint64_t request);
+  // Queues a message to one sibling.
+  void sendTo(const std::string& sibling, peer::Payload payload);
+  // Queues a message to each sibling.
+  void broadcast(const peer::Payload& payload);
 };
 
 }  // namespace reachhoist::service
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -3,98 +3,117 @@
 #include <algorithm>
 #include <utility>
 
+#include "service/request_router.hpp"
+
 namespace reachhoist::service {
 
 namespace {
-constexpr std::string_view kJobsPath = "/api/jobs";
-constexpr std::string_view kAbortEnd = "/abort";
+
 constexpr std::string_view kJobsPrefix = "jobs/";
-constexpr const char* kCatalogKey = "catalog";
-constexpr int kFullHeartbeats =
-    5;  // every so many progress messages one names all jobs, in case one was lost
-}  // namespace
 
-void Context::event(Level of, std::string_view name, std::initializer_list<LogField> fields) const {
-  if (!logs(of)) return;
-  std::string line = "event=" + std::string(name);
-  for (const LogField& field : fields) line.append(" ").append(field.key).append("=").append(field.value);
-  logSink(of, line);
+// Least time between two confirming reads of the job feed: each controller spends a share of the key-value
+// store's request rate on them, and all controllers together are bounded as well.
+wire::Duration confirmGap(const config::Settings& settings) {
+  const auto controllers = static_cast<double>(settings.siblings.size() + 1);
+  const double share = std::min(constants::kPollShare, constants::kPollsShare / controllers);
+  return wire::seconds(1.0 / (settings.stateRps * share));
 }
 
+wire::Result<wire::WorkerHeartbeat> decodeHeartbeatBody(const std::string& body) {
+  const auto decoded = wire::decodeBody(body);
+  if (!decoded) return wire::Result<wire::WorkerHeartbeat>::failure(decoded.reason());
+  return wire::decodeHeartbeat(*decoded);
+}
+
+}  // namespace
+
 Controller::Controller(const config::Settings& settings, std::uint64_t seed, Level level,
                        Context::LogSink sink)
     : settings_(settings),
       context_(settings, level, std::move(sink)),
-      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::place,
-               wire::seconds(1.0 / (settings.stateRps *
-                                    std::min(constants::kPollShare,
-                                             constants::kPollsShare /
-                                                 static_cast<double>(settings.siblings.size() + 1)))),
-               {[this](const auto& key, const Json* value, std::uint64_t revision) {
-                  onJob(key, value, revision);
-                },
-                nullptr, nullptr}),
-      leadership_(context_.state, settings, seed,
-                  {[this](std::uint64_t term, const std::vector<std::uint64_t>& revisions) {
-                     // Made in the next turn: this is called from within the leadership's own affairs.
-                     leaderDue_ = true;
-                     leaderTerm_ = term;
-                     leaderPartitionRevisions_ = revisions;
-                     context_.event(Level::info, "elected", {{"term", term}});
-                   },
-                   [this](const char* why) {
-                     leaderDue_ = true;
-                     leaderTerm_ = 0;
-                     context_.event(Level::info, "deposed", {{"why", why}});
-                   },
-                   [this](std::uint64_t layout) {
-                     context_.event(Level::error, "layout_refused",
-                                    {{"found", layout}, {"readable", constants::kLayout}});
-                   }}),
+      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::place, confirmGap(settings),
+               jobFeedHandlers()),
+      leadership_(context_.state, settings, seed, leadershipHandlers()),
+      siblings_(context_, leadership_),
+      heartbeatRelay_(context_, leadership_, siblings_),
+      progressPublisher_(context_),
+      progressReceiver_(jobs_),
+      catalogLoader_(context_),
       jobApi_(context_, jobFeed_, jobs_, leadership_,
-              [this](auto change, const std::string& ref) { applied(change, ref); }) {
+              [this](auto change, const std::string& ref) { onJobChange(change, ref); }) {
   if (settings.operators.shares.on) shares_ = std::make_unique<SharesFollower>(context_);
 }
 
-void Controller::at(Time now, std::int64_t wallMs) {
+// --- callbacks of the components ---------------------------------------------------------------------------
+
+state::Feed::Handlers Controller::jobFeedHandlers() {
+  const auto entry = [this](const std::string& key, const Json* value, std::uint64_t revision) {
+    onJobRecord(key, value, revision);
+  };
+  return {entry, nullptr, nullptr};
+}
+
+cluster::Leadership::Handlers Controller::leadershipHandlers() {
+  // Elections take effect in the next tick, because these are called while Leadership changes its own state.
+  const auto elected = [this](std::uint64_t term, const std::vector<std::uint64_t>& partitionRevisions) {
+    pendingLeadershipChange_ = LeadershipChange{term, partitionRevisions};
+    context_.event(Level::info, "elected", {{"term", term}});
+  };
+  const auto deposed = [this](const char* why) {
+    pendingLeadershipChange_ = LeadershipChange{};
+    context_.event(Level::info, "deposed", {{"why", why}});
+  };
+  const auto refused = [this](std::uint64_t layout) {
+    context_.event(Level::error, "layout_refused", {{"found", layout}, {"readable", constants::kLayout}});
+  };
+  return {elected, deposed, refused};
+}
+
+void Controller::onJobRecord(const std::string& key, const Json* value, std::uint64_t revision) {
+  if (value == nullptr || !key.starts_with(kJobsPrefix)) return;
+  const std::string ref = key.substr(kJobsPrefix.size());
+  onJobChange(jobs_.apply(ref, *value, revision), ref);
+}
+
+void Controller::onJobChange(jobs::JobTable::Change change, const std::string& ref) {
+  using Change = jobs::JobTable::Change;
+  if (change == Change::malformed) context_.event(Level::error, "bad_record", {{"job", ref}});
+  Leader* leader = activeLeader();
+  if (leader == nullptr) return;
+  if (change == Change::accepted) leader->onJobAccepted(*jobs_.find(ref));
+  if (change == Change::ended) leader->onJobEnded(*jobs_.find(ref));
+}
+
+// --- time --------------------------------------------------------------------------------------------------
+
+void Controller::beginEvent(Time now, std::int64_t wallMs) {
   context_.now = now;
   context_.wallMs = wallMs;
-  const Time before = std::exchange(lastActive_, now);
+  const Time before = std::exchange(lastEventAt_, now);
   if (before != Time{} && now - before > constants::kStandstill) resumed(now - before);
 }
 
-void Controller::resumed(wire::Duration away) {
+void Controller::resumed(wire::Duration suspendedFor) {
   context_.resumedAt = context_.now;
-  context_.event(Level::info, "resumed", {{"away_s", wire::toSeconds(away)}});
-  for (auto& [label, heard] : heard_) heard.at += away;
-  context_.siblingHeardAt += away;
-  context_.siblingConfirmedAt += away;
-  if (leader_) leader_->resumed(away);
+  context_.event(Level::info, "resumed", {{"away_s", wire::toSeconds(suspendedFor)}});
+  siblings_.resumed(suspendedFor);
+  if (leader_) leader_->resumed(suspendedFor);
 }
 
 void Controller::start(Time now, std::int64_t wallMs) {
-  at(now, wallMs);
+  beginEvent(now, wallMs);
   context_.event(Level::info, "start", {{"label", settings_.label}});
   jobFeed_.start(now);
   leadership_.start(now);
   if (shares_) shares_->start();
-  fetchCatalog();
+  catalogLoader_.tick();
 }
 
 void Controller::tick(Time now, std::int64_t wallMs) {
-  at(now, wallMs);
-  if (leaderDue_) {
-    leaderDue_ = false;
-    if (leader_) {
-      for (const std::string& ref : jobs_.open()) jobs_.find(ref)->endTracking();
-      leader_.reset();
-    }
-    if (leaderTerm_ != 0)
-      leader_ = std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, leaderTerm_,
-                                         leaderPartitionRevisions_);
-  }
+  beginEvent(now, wallMs);
+  applyLeadershipChange();
   leadership_.tick(now);
-  // The leader's window for answering workers rests on this read as well as on the lease.
+  // The leader may answer workers only while both this read and its lease are recent.
   if (leader_ && now >= nextConfirm_) {
     nextConfirm_ = now + constants::kConfirmEvery;
     jobFeed_.confirm(now, [](bool) {});
@@ -103,265 +122,132 @@
   jobApi_.tick();
   if (shares_) shares_->tick(leadership_.leading());
   if (leader_) leader_->tick();
-  fetchCatalog();
+  catalogLoader_.tick();
   if (now >= nextHeartbeat_) sendHeartbeat();
-  std::erase_if(relayRoutes_,
-                [now](const auto& entry) { return now - entry.second.lastSeen > 2 * constants::kRelayFor; });
-  for (auto relay = relays_.begin(); relay != relays_.end();) {
-    if (relay->second.deadline > now) {
-      ++relay;
-      continue;
-    }
-    context_.later(relay->second.request);
-    relay = relays_.erase(relay);
-  }
+  heartbeatRelay_.tick();
   context_.state.pump(now);
 }
 
 Actions Controller::drain() {
-  Actions out;
-  out.calls = context_.calls.drain();
-  out.replies = std::exchange(context_.replies, {});
-  out.peers = std::exchange(context_.peerOut, {});
-  return out;
+  Actions actions;
+  actions.calls = context_.calls.drain();
+  actions.replies = std::exchange(context_.replies, {});
+  actions.peers = std::exchange(context_.peerOut, {});
+  return actions;
 }
 
 void Controller::onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result) {
-  at(now, wallMs);
+  beginEvent(now, wallMs);
   context_.calls.complete(call, result);
-  if (leader_ && !leaderDue_) leader_->advance();
+  if (Leader* leader = activeLeader()) leader->advance();
 }
 
-void Controller::onJob(const std::string& key, const Json* value, std::uint64_t revision) {
-  if (value == nullptr || !key.starts_with(kJobsPrefix)) return;
-  const std::string ref = key.substr(kJobsPrefix.size());
-  applied(jobs_.apply(ref, *value, revision), ref);
-}
+// --- leadership --------------------------------------------------------------------------------------------
 
-void Controller::applied(jobs::JobTable::Change change, const std::string& ref) {
-  using Change = jobs::JobTable::Change;
-  if (change == Change::malformed) context_.event(Level::error, "bad_record", {{"job", ref}});
-  if (!leader_ || leaderDue_) return;
-  if (change == Change::accepted) leader_->onJobAccepted(*jobs_.find(ref));
-  if (change == Change::ended) leader_->onJobEnded(*jobs_.find(ref));
+void Controller::applyLeadershipChange() {
+  if (!pendingLeadershipChange_) return;
+  const LeadershipChange change = *std::exchange(pendingLeadershipChange_, std::nullopt);
+  if (leader_) {
+    for (const std::string& ref : jobs_.open()) jobs_.find(ref)->endTracking();
+    leader_.reset();
+  }
+  if (change.term == 0) return;
+  leader_ = std::make_unique<Leader>(context_, leadership_, jobFeed_, jobs_, change.term,
+                                     change.partitionRevisions);
 }
 
+Leader* Controller::activeLeader() const { return pendingLeadershipChange_ ? nullptr : leader_.get(); }
+
 // --- requests ----------------------------------------------------------------------------------------------
 
 void Controller::onRequest(Time now, std::int64_t wallMs, const Request& request) {
-  at(now, wallMs);
-  std::string_view path = request.target;
-  path = path.substr(0, path.find('?'));
-  const bool get = request.method == "GET";
-  const bool post = request.method == "POST";
-  const auto wrongMethod = [&] {
-    context_.reply(request.number, 405, Json{{"error", "method not allowed"}});
-  };
-  if (path == "/healthz") {
-    if (!get) return wrongMethod();
-    const bool able = jobFeed_.ready() && context_.catalog.has_value() && !isIsolated();
-    return able ? context_.reply(request.number, 200, Json{{"ok", true}}) : context_.later(request.number);
-  }
-  if (path == "/v1/report") {
-    if (!post) return wrongMethod();
-    return heartbeat(request.number, request.body);
+  beginEvent(now, wallMs);
+  const Route route = routeRequest(request.method, request.target);
+  switch (route.endpoint) {
+    case Endpoint::healthCheck:
+      return answerHealthCheck(request.number);
+    case Endpoint::workerHeartbeat:
+      return onWorkerHeartbeat(request.number, request.body);
+    case Endpoint::submitJob:
+      return jobApi_.submit(request.number, request.body);
+    case Endpoint::queryJob:
+      return jobApi_.query(request.number, route.jobRef);
+    case Endpoint::abortJob:
+      return jobApi_.abort(request.number, route.jobRef);
+    case Endpoint::methodNotAllowed:
+      return context_.reply(request.number, 405, Json{{"error", "method not allowed"}});
+    case Endpoint::notFound:
+      return context_.reply(request.number, 404, Json{{"error", "no such path"}});
   }
-  if (path == kJobsPath) {
-    if (!post) return wrongMethod();
-    return jobApi_.submit(request.number, request.body);
-  }
-  if (path.starts_with(kJobsPath) && path.size() > kJobsPath.size() + 1 && path[kJobsPath.size()] == '/') {
-    path.remove_prefix(kJobsPath.size() + 1);
-    if (path.ends_with(kAbortEnd)) {
-      if (!post) return wrongMethod();
-      return jobApi_.abort(request.number, std::string(path.substr(0, path.size() - kAbortEnd.size())));
-    }
-    if (path.find('/') == std::string_view::npos) {
-      if (!get) return wrongMethod();
-      return jobApi_.query(request.number, std::string(path));
-    }
-  }
-  context_.reply(request.number, 404, Json{{"error", "no such path"}});
 }
 
-void Controller::heartbeat(std::uint64_t request, const std::string& body) {
-  const auto decoded = wire::decodeBody(body);
-  const auto heartbeat = decoded ? wire::decodeHeartbeat(*decoded)
-                                 : wire::Result<wire::WorkerHeartbeat>::failure(decoded.reason());
+void Controller::answerHealthCheck(std::uint64_t request) {
+  const bool healthy =
+      jobFeed_.ready() && context_.catalog.has_value() && !siblings_.isIsolated(jobFeed_.confirmedAt());
+  if (!healthy) return context_.later(request);
+  context_.reply(request, 200, Json{{"ok", true}});
+}
+
+void Controller::onWorkerHeartbeat(std::uint64_t request, const std::string& body) {
+  const auto heartbeat = decodeHeartbeatBody(body);
   if (!heartbeat) {
     context_.event(Level::info, "bad_report", {{"why", heartbeat.reason()}});
     return context_.reply(request, 400, Json{{"error", heartbeat.reason()}});
   }
-  if (leadership_.leading()) {
-    if (!leader_ || leaderDue_) return context_.later(request);
-    auto answer = leader_->onHeartbeat(*heartbeat, Leader::Source::heartbeat);
-    if (answer.status != 200) return context_.later(request);
-    return context_.reply(request, 200, std::move(answer.body));
-  }
-  redirectOrRelay(request, *heartbeat, body);
+  if (!leadership_.leading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
+  Leader* leader = activeLeader();
+  if (leader == nullptr) return context_.later(request);
+  auto response = leader->onHeartbeat(*heartbeat, Leader::Source::heartbeat);
+  if (response.status != 200) return context_.later(request);
+  context_.reply(request, 200, std::move(response.body));
 }
 
-void Controller::redirectOrRelay(std::uint64_t request, const wire::WorkerHeartbeat& heartbeat,
-                                 const std::string& body) {
-  const std::string leader = leaderLabel();
-  if (leader.empty() || leader == settings_.label || settings_.sibling(leader) == nullptr)
-    return context_.later(request);
-  RelayRoute& route = relayRoutes_[heartbeat.host.text];
-  if (route.leader != leader) route = RelayRoute{leader, {}, {}, {}};
-  route.lastSeen = context_.now;
-  // It has been commanded under this term, or was sent to the leader a moment ago, and is here all the same:
-  // it can't reach the leader, but perhaps we can. Now and then it is sent back, in case the way is open
-  // again.
-  const bool left = heartbeat.token >= cluster::token(leadership_.term(), 0) ||
-                    context_.now - route.redirectedAt < constants::kRelayMemory;
-  const bool enough =
-      route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kRelayFor;
-  if (left && !enough) {
-    // Without a link to the leader there is no way round through us either, but perhaps through the next
-    // controller. Sent back to the leader, the worker would come to us again and again.
-    const auto heard = heard_.find(leader);
-    if (heard == heard_.end() || context_.now - heard->second.at >= constants::kHeartbeatFresh)
-      return context_.later(request);
-    if (route.relayedSince == Time{}) route.relayedSince = context_.now;
-    const std::uint64_t number = nextRelay_++;
-    relays_[number] = RelayOut{request, context_.now + constants::kRelayTimeout};
-    context_.peerOut.push_back(PeerSend{leader, peer::Message{settings_.label, peer::Relay{number, body}}});
-    return;
-  }
-  route.redirectedAt = context_.now;
-  route.relayedSince = Time{};
-  context_.reply(request, 421, Json{{"foreman", leader}});
-}
-
-// --- peers -------------------------------------------------------------------------------------------------
+// --- messages between controllers --------------------------------------------------------------------------
 
 void Controller::onPeer(Time now, std::int64_t wallMs, const peer::Message& message) {
-  at(now, wallMs);
+  beginEvent(now, wallMs);
   if (settings_.sibling(message.from) == nullptr) return;
-  if (const auto* relay = std::get_if<peer::Relay>(&message.what)) return onRelay(message.from, *relay);
-  if (const auto* answer = std::get_if<peer::Relayed>(&message.what)) return relayed(*answer);
-  if (const auto* heartbeat = std::get_if<peer::Heartbeat>(&message.what))
-    return onHeartbeat(message.from, *heartbeat);
-  const auto& progress = std::get<peer::Progress>(message.what);
-  if (progress.term < progressTerm_ || leader_) return;
-  progressTerm_ = progress.term;
-  for (const peer::JobProgress& shown : progress.jobs) {
-    if (jobs::Job* job = jobs_.find(shown.ref); job != nullptr && job->open()) {
-      job->displayedDone = shown.done;
-      job->displayedRunning = shown.running;
-    }
-  }
+  std::visit([&](const auto& payload) { onPeerMessage(message.from, payload); }, message.payload);
 }
 
-void Controller::onRelay(const std::string& from, const peer::Relay& relay) {
-  peer::Relayed answer{relay.number, 503, {}};
-  const auto decoded = wire::decodeBody(relay.heartbeat);
-  const auto heartbeat = decoded ? wire::decodeHeartbeat(*decoded)
-                                 : wire::Result<wire::WorkerHeartbeat>::failure(decoded.reason());
-  if (heartbeat && leader_ && !leaderDue_) {
-    auto given = leader_->onHeartbeat(*heartbeat, Leader::Source::relay);
+void Controller::onPeerMessage(const std::string& from, const peer::RelayRequest& request) {
+  peer::RelayResponse response{request.number, 503, {}};
+  const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
+  Leader* leader = activeLeader();
+  if (heartbeat && leader != nullptr) {
+    const auto given = leader->onHeartbeat(*heartbeat, Leader::Source::relay);
     if (context_.logs(Level::debug))
       context_.event(Level::debug, "relayed",
                      {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
-    answer.status = given.status;
-    if (given.status == 200) answer.body = wire::encodeBody(given.body);
+    response.status = given.status;
+    if (given.status == 200) response.body = wire::encodeBody(given.body);
   }
-  context_.peerOut.push_back(PeerSend{from, peer::Message{settings_.label, std::move(answer)}});
+  context_.sendTo(from, std::move(response));
 }
 
-void Controller::relayed(const peer::Relayed& answer) {
-  const auto found = relays_.find(answer.number);
-  if (found == relays_.end()) return;
-  const std::uint64_t request = found->second.request;
-  relays_.erase(found);
-  const auto body = wire::decodeBody(answer.body);
-  if (answer.status != 200 || !body) return context_.later(request);
-  context_.reply(request, 200, *body);
+void Controller::onPeerMessage(const std::string& /*from*/, const peer::RelayResponse& response) {
+  heartbeatRelay_.onResponse(response);
 }
 
-void Controller::onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat) {
-  heard_[from] = Heard{context_.now, heartbeat.confirmed};
-  context_.siblingHeardAt = context_.now;
-  if (heartbeat.confirmed) context_.siblingConfirmedAt = context_.now;
-  if (!heartbeat.leading || heartbeat.term <= announcedTerm_) return;
-  announcedTerm_ = heartbeat.term;
-  announcedLeader_ = from;
-  // We may be the last to hear of it: as long as we answered workers 200, they would not look for the new
-  // leader.
-  if (leadership_.leading() && heartbeat.term > leadership_.term()) leadership_.resign("a sibling leads");
+void Controller::onPeerMessage(const std::string& /*from*/, const peer::Progress& progress) {
+  // The leader counts the tasks itself.
+  if (leader_) return;
+  progressReceiver_.apply(progress);
 }
 
-bool Controller::isIsolated() const {
-  if (settings_.siblings.empty() || context_.now - jobFeed_.confirmedAt() < constants::kIsolatedAfter)
-    return false;
-  bool silent = true;
-  for (const auto& [label, heard] : heard_) {
-    if (context_.now - heard.at > constants::kHeartbeatFresh) continue;
-    if (heard.confirmed) return true;
-    silent = false;
-  }
-  return silent;
-}
-
-std::string Controller::leaderLabel() const {
-  return announcedTerm_ > leadership_.term() ? announcedLeader_ : leadership_.leader();
+void Controller::onPeerMessage(const std::string& from, const peer::Heartbeat& heartbeat) {
+  const bool newLeader = siblings_.onHeartbeat(from, heartbeat);
+  // This controller may be the last to learn of its successor. As long as it answered workers 200, they would
+  // not look for the new leader.
+  if (newLeader && leadership_.leading() && heartbeat.term > leadership_.term())
+    leadership_.resign("a sibling leads");
 }
 
 void Controller::sendHeartbeat() {
   nextHeartbeat_ = context_.now + constants::kHeartbeatEvery;
-  const peer::Heartbeat heartbeat{leadership_.term(), leadership_.leading(),
-                                  context_.now - jobFeed_.confirmedAt() < constants::kHeartbeatFresh};
-  for (const config::Sibling& sibling : settings_.siblings)
-    context_.peerOut.push_back(PeerSend{sibling.label, peer::Message{settings_.label, heartbeat}});
-  if (!leader_) return;
-  const peer::Progress progress = leader_->progress(++heartbeats_ % kFullHeartbeats == 0);
-  // In parts, since a frame that is too large would be dropped whole, each time again.
-  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kProgressJobs) {
-    const std::size_t to = std::min(progress.jobs.size(), from + constants::kProgressJobs);
-    const auto begin = progress.jobs.begin();
-    const peer::Progress part{
-        progress.term, {begin + static_cast<std::ptrdiff_t>(from), begin + static_cast<std::ptrdiff_t>(to)}};
-    for (const config::Sibling& sibling : settings_.siblings)
-      context_.peerOut.push_back(PeerSend{sibling.label, peer::Message{settings_.label, part}});
-  }
-}
-
-// --- machine types -----------------------------------------------------------------------------------------
-
-void Controller::fetchCatalog() {
-  // Until they are known once; later the leader's cloud client keeps them current.
-  if (context_.catalog || askingCatalog_ || context_.now < nextCatalog_) return;
-  askingCatalog_ = true;
-  wire::Call call;
-  call.to = wire::Service::cloud;
-  call.endpoint = settings_.cloudEndpoint;
-  call.method = "GET";
-  call.path = "/catalog";
-  call.timeout = constants::kCloudTimeout;
-  context_.calls.start(std::move(call), [this](const wire::CallResult& result) {
-    askingCatalog_ = false;
-    nextCatalog_ = context_.now + constants::kCatalogRetry;
-    auto catalog = wire::decodeCatalog(result.body);
-    if (result.ok() && catalog) {
-      context_.catalog = std::move(*catalog);
-      // Kept so that a controller that starts during the cloud's outage can still decide.
-      state::Transaction transaction;
-      transaction.writes.push_back({kCatalogKey, wire::encodeCatalog(*context_.catalog), std::nullopt});
-      context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
-      return;
-    }
-    context_.state.get(
-        context_.now, state::Urgency::place, kCatalogKey, [this](const wire::CallResult& stored) {
-          const Json* value = wire::field(stored.body, "value");
-          if (!stored.ok() || value == nullptr || context_.catalog) return;
-          auto known = wire::decodeCatalog(*value);
-          if (known) {
-            context_.catalog = std::move(*known);
-          } else {
-            context_.event(Level::error, "bad_record", {{"key", kCatalogKey}, {"why", known.reason()}});
-          }
-        });
-  });
+  const bool storeConfirmed = context_.now - jobFeed_.confirmedAt() < constants::kHeartbeatFresh;
+  context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.leading(), storeConfirmed});
+  if (leader_) progressPublisher_.publish(*leader_);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -1,106 +1,114 @@
-// One controller: events and time in, actions out. No sockets, no clocks of its own.
+// One controller of the cluster as a deterministic state machine: events and the time go in, actions come
+// out. It has no sockets and no clocks; Runtime (or a simulation) provides them.
 #pragma once
 
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "cluster/leadership.hpp"
+#include "service/catalog_loader.hpp"
 #include "service/context.hpp"
+#include "service/heartbeat_relay.hpp"
 #include "service/job_api.hpp"
+#include "service/job_progress.hpp"
 #include "service/leader.hpp"
 #include "service/shares.hpp"
+#include "service/sibling_monitor.hpp"
 
 namespace reachhoist::service {
 
+// An HTTP request of a user or a worker.
 struct Request {
-  std::uint64_t number = 0;
+  std::uint64_t number = 0;  // identifies the request in Reply
   std::string method;
-  std::string target;
+  std::string target;  // path, perhaps with a query string
   std::string body;
 };
 
-// What the controller wants done; whoever runs it does it and reports back.
+// Output of a controller. Whoever runs it carries the calls out and reports their results with onResult().
 struct Actions {
   std::vector<wire::Call> calls;
   std::vector<Reply> replies;
   std::vector<PeerSend> peers;
 };
 
+// Composes the components that every controller has, and the Leader while it leads. Each event takes the
+// steady time and the wall time (milliseconds since the Unix epoch). Not thread-safe.
 class Controller {
  public:
+  // settings: must outlive the controller. seed: of the random jitter of elections. sink: takes log lines up
+  // to `level`.
   Controller(const config::Settings& settings, std::uint64_t seed, Level level, Context::LogSink sink);
   Controller(const Controller&) = delete;
 
+  // To be called once, before any other event.
   void start(Time now, std::int64_t wallMs);
+  // An HTTP request has come; the reply may follow in a later drain().
   void onRequest(Time now, std::int64_t wallMs, const Request& request);
+  // A call from drain() has ended.
   void onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result);
+  // A sibling's message has come.
   void onPeer(Time now, std::int64_t wallMs, const peer::Message& message);
   // To be called every constants::kTick.
   void tick(Time now, std::int64_t wallMs);
+  // Takes what is to be done; to be called after each event.
   Actions drain();
 
+  // Whether this controller leads.
   bool leading() const { return leadership_.leading(); }
 
  private:
-  void at(Time now, std::int64_t wallMs);
-  // The process stood still for so long: nothing was heard, which says nothing about others.
-  void resumed(wire::Duration away);
-  void onJob(const std::string& key, const Json* value, std::uint64_t revision);
-  void applied(jobs::JobTable::Change change, const std::string& ref);
-  void heartbeat(std::uint64_t request, const std::string& body);
-  void redirectOrRelay(std::uint64_t request, const wire::WorkerHeartbeat& heartbeat,
-                       const std::string& body);
-  void relayed(const peer::Relayed& relayed);
-  void onRelay(const std::string& from, const peer::Relay& relay);
+  // An election or a loss of leadership that has not taken effect yet.
+  struct LeadershipChange {
+    std::uint64_t term = 0;  // 0: this controller no longer leads
+    std::vector<std::uint64_t> partitionRevisions;
+  };
+
+  // --- Callbacks of the components
+  state::Feed::Handlers jobFeedHandlers();
+  cluster::Leadership::Handlers leadershipHandlers();
+  void onJobRecord(const std::string& key, const Json* value, std::uint64_t revision);
+  void onJobChange(jobs::JobTable::Change change, const std::string& ref);
+
+  // --- Time
+  void beginEvent(Time now, std::int64_t wallMs);
+  void resumed(wire::Duration suspendedFor);
+
+  // --- Leadership
+  void applyLeadershipChange();
+  // The leader, unless its leadership has begun or ended and that has not taken effect yet; may be null.
+  Leader* activeLeader() const;
+
+  // --- Requests
+  void answerHealthCheck(std::uint64_t request);
+  void onWorkerHeartbeat(std::uint64_t request, const std::string& body);
+
+  // --- Messages between controllers
+  void onPeerMessage(const std::string& from, const peer::RelayRequest& request);
+  void onPeerMessage(const std::string& from, const peer::RelayResponse& response);
+  void onPeerMessage(const std::string& from, const peer::Progress& progress);
+  void onPeerMessage(const std::string& from, const peer::Heartbeat& heartbeat);
   void sendHeartbeat();
-  void onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat);
-  // Siblings have the state service, or all are out of reach as well, and we have not: users fare better
-  // elsewhere.
-  bool isIsolated() const;
-  std::string leaderLabel() const;
-  void fetchCatalog();
 
   const config::Settings& settings_;
   Context context_;
   jobs::JobTable jobs_;
   state::Feed jobFeed_;
   cluster::Leadership leadership_;
+  SiblingMonitor siblings_;
+  HeartbeatRelay heartbeatRelay_;
+  ProgressPublisher progressPublisher_;
+  ProgressReceiver progressReceiver_;
+  CatalogLoader catalogLoader_;
   JobApi jobApi_;
-  std::unique_ptr<SharesFollower> shares_;  // none: the operators' file has no such block
-  std::unique_ptr<Leader> leader_;
-  std::uint64_t leaderTerm_ = 0;
-  std::vector<std::uint64_t> leaderPartitionRevisions_;
-  bool leaderDue_ = false;
-  Time lastActive_{};
+  std::unique_ptr<SharesFollower> shares_;  // null: fair shares are not configured
+  std::unique_ptr<Leader> leader_;          // null: this controller does not lead
+  std::optional<LeadershipChange> pendingLeadershipChange_;
+  Time lastEventAt_{};
   Time nextConfirm_{};
   Time nextHeartbeat_{};
-  int heartbeats_ = 0;
-  std::uint64_t progressTerm_ = 0;
-  struct Heard {
-    Time at{};
-    bool confirmed = false;
-  };
-  std::map<std::string, Heard> heard_;  // of siblings
-  std::uint64_t announcedTerm_ = 0;     // the latest that a sibling said it leads under
-  std::string announcedLeader_;
-
-  struct RelayRoute {
-    std::string leader;
-    Time redirectedAt{};
-    Time relayedSince{};  // unset: not relayed
-    Time lastSeen{};
-  };
-  std::map<std::string, RelayRoute> relayRoutes_;  // by host: workers that came here though another owns them
-  struct RelayOut {
-    std::uint64_t request = 0;
-    Time deadline{};
-  };
-  std::map<std::uint64_t, RelayOut> relays_;
-  std::uint64_t nextRelay_ = 1;
-
-  bool askingCatalog_ = false;
-  Time nextCatalog_{};
 };
 
 }  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/heartbeat_relay.cpp
@@ -0,0 +1,84 @@
+#include "service/heartbeat_relay.hpp"
+
+namespace reachhoist::service {
+
+HeartbeatRelay::HeartbeatRelay(Context& context, const cluster::Leadership& leadership,
+                               const SiblingMonitor& siblings)
+    : context_(context), leadership_(leadership), siblings_(siblings) {}
+
+void HeartbeatRelay::redirectOrRelay(std::uint64_t request, const wire::WorkerHeartbeat& heartbeat,
+                                     const std::string& body) {
+  const std::string leader = siblings_.leader();
+  const config::Settings& settings = context_.settings;
+  if (leader.empty() || leader == settings.label || settings.sibling(leader) == nullptr)
+    return context_.later(request);
+  WorkerRoute& route = routeOf(heartbeat.host.text, leader);
+  if (cannotReachLeader(route, heartbeat) && !mustRetryDirectPath(route)) return relay(request, route, body);
+  redirect(request, route);
+}
+
+HeartbeatRelay::WorkerRoute& HeartbeatRelay::routeOf(const std::string& host, const std::string& leader) {
+  WorkerRoute& route = routes_[host];
+  if (route.leader != leader) route = WorkerRoute{leader, {}, {}, {}};
+  route.lastSeen = context_.now;
+  return route;
+}
+
+bool HeartbeatRelay::cannotReachLeader(const WorkerRoute& route,
+                                       const wire::WorkerHeartbeat& heartbeat) const {
+  // The worker got commands under this term, or was redirected a moment ago, so it knows the leader and came
+  // here all the same.
+  return heartbeat.token >= cluster::token(leadership_.term(), 0) ||
+         context_.now - route.redirectedAt < constants::kRelayMemory;
+}
+
+bool HeartbeatRelay::mustRetryDirectPath(const WorkerRoute& route) const {
+  // The network between worker and leader may have healed since.
+  return route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kRelayFor;
+}
+
+void HeartbeatRelay::relay(std::uint64_t request, WorkerRoute& route, const std::string& body) {
+  // Without a link to the leader this controller can't relay either, but the next one may. Redirected to the
+  // leader, the worker would come back here again and again.
+  if (!siblings_.reachable(route.leader)) return context_.later(request);
+  if (route.relayedSince == Time{}) route.relayedSince = context_.now;
+  const std::uint64_t number = nextNumber_++;
+  pending_[number] = PendingRelay{request, context_.now + constants::kRelayTimeout};
+  context_.sendTo(route.leader, peer::RelayRequest{number, body});
+}
+
+void HeartbeatRelay::redirect(std::uint64_t request, WorkerRoute& route) {
+  route.redirectedAt = context_.now;
+  route.relayedSince = Time{};
+  context_.reply(request, 421, Json{{"foreman", route.leader}});
+}
+
+void HeartbeatRelay::onResponse(const peer::RelayResponse& response) {
+  const auto found = pending_.find(response.number);
+  if (found == pending_.end()) return;
+  const std::uint64_t request = found->second.request;
+  pending_.erase(found);
+  const auto body = wire::decodeBody(response.body);
+  if (response.status != 200 || !body) return context_.later(request);
+  context_.reply(request, 200, *body);
+}
+
+void HeartbeatRelay::tick() {
+  std::erase_if(routes_, [this](const auto& entry) {
+    return context_.now - entry.second.lastSeen > 2 * constants::kRelayFor;
+  });
+  expirePending();
+}
+
+void HeartbeatRelay::expirePending() {
+  for (auto pending = pending_.begin(); pending != pending_.end();) {
+    if (pending->second.deadline > context_.now) {
+      ++pending;
+      continue;
+    }
+    context_.later(pending->second.request);
+    pending = pending_.erase(pending);
+  }
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/job_progress.cpp
@@ -0,0 +1,39 @@
+#include "service/job_progress.hpp"
+
+#include <algorithm>
+
+namespace reachhoist::service {
+
+namespace {
+// Every fifth message names all jobs, since messages between controllers may be lost.
+constexpr int kFullProgressInterval = 5;
+}  // namespace
+
+void ProgressPublisher::publish(Leader& leader) {
+  const bool allJobs = ++published_ % kFullProgressInterval == 0;
+  send(leader.progress(allJobs));
+}
+
+void ProgressPublisher::send(const peer::Progress& progress) {
+  // In several messages, because a frame that is too large would be dropped whole, each time again.
+  const auto jobs = progress.jobs.begin();
+  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kProgressJobs) {
+    const std::size_t to = std::min(progress.jobs.size(), from + constants::kProgressJobs);
+    const auto first = jobs + static_cast<std::ptrdiff_t>(from);
+    const auto last = jobs + static_cast<std::ptrdiff_t>(to);
+    context_.broadcast(peer::Progress{progress.term, {first, last}});
+  }
+}
+
+void ProgressReceiver::apply(const peer::Progress& progress) {
+  if (progress.term < latestTerm_) return;
+  latestTerm_ = progress.term;
+  for (const peer::JobProgress& received : progress.jobs) {
+    jobs::Job* job = jobs_.find(received.ref);
+    if (job == nullptr || !job->open()) continue;
+    job->displayedDone = received.done;
+    job->displayedRunning = received.running;
+  }
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/request_router.hpp
@@ -0,0 +1,29 @@
+// Maps the method and target of an HTTP request to the endpoint that serves it.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+namespace reachhoist::service {
+
+// The endpoints of a controller, and the two ways in which a request can match none.
+enum class Endpoint {
+  healthCheck,
+  workerHeartbeat,
+  submitJob,
+  queryJob,
+  abortJob,
+  methodNotAllowed,  // the path exists, but not with this method
+  notFound,          // there is no such path
+};
+
+// A request target after routing.
+struct Route {
+  Endpoint endpoint = Endpoint::notFound;
+  std::string jobRef;  // for queryJob and abortJob, as it stands in the path; not validated
+};
+
+// Routes a request; a query string in the target is ignored.
+Route routeRequest(std::string_view method, std::string_view target);
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/sibling_monitor.cpp
@@ -0,0 +1,45 @@
+#include "service/sibling_monitor.hpp"
+
+namespace reachhoist::service {
+
+SiblingMonitor::SiblingMonitor(Context& context, const cluster::Leadership& leadership)
+    : context_(context), leadership_(leadership) {}
+
+bool SiblingMonitor::onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat) {
+  lastHeartbeats_[from] = LastHeartbeat{context_.now, heartbeat.confirmed};
+  context_.siblingHeardAt = context_.now;
+  if (heartbeat.confirmed) context_.siblingConfirmedAt = context_.now;
+  if (!heartbeat.leading || heartbeat.term <= announcedTerm_) return false;
+  announcedTerm_ = heartbeat.term;
+  announcedLeader_ = from;
+  return true;
+}
+
+void SiblingMonitor::resumed(wire::Duration suspendedFor) {
+  for (auto& [label, last] : lastHeartbeats_) last.at += suspendedFor;
+  context_.siblingHeardAt += suspendedFor;
+  context_.siblingConfirmedAt += suspendedFor;
+}
+
+bool SiblingMonitor::reachable(const std::string& label) const {
+  const auto last = lastHeartbeats_.find(label);
+  return last != lastHeartbeats_.end() && context_.now - last->second.at < constants::kHeartbeatFresh;
+}
+
+bool SiblingMonitor::isIsolated(Time storeConfirmedAt) const {
+  if (context_.settings.siblings.empty() || context_.now - storeConfirmedAt < constants::kIsolatedAfter)
+    return false;
+  bool noneReachable = true;
+  for (const auto& [label, last] : lastHeartbeats_) {
+    if (context_.now - last.at > constants::kHeartbeatFresh) continue;
+    if (last.confirmed) return true;
+    noneReachable = false;
+  }
+  return noneReachable;
+}
+
+const std::string& SiblingMonitor::leader() const {
+  return announcedTerm_ > leadership_.term() ? announcedLeader_ : leadership_.leader();
+}
+
+}  // namespace reachhoist::service
