--- /dev/null
+++ b/src/service/job_admission.cpp
@@ -0,0 +1,73 @@
+#include "service/job_admission.hpp"
+
+#include <algorithm>
+
+#include "jobs/jobs.hpp"
+
+namespace reachhoist::service {
+
+namespace {
+
+using Catalog = std::vector<wire::MachineType>;
+
+constexpr double kRoundingSlack = 1e-6;  // vCPUs or accelerators, for sums of fractions
+constexpr double kBytesPerKb = 1024;
+
+bool offeredInZone(const wire::MachineType& machineType, const std::optional<std::string>& zone) {
+  const auto& zones = machineType.zones;
+  if (!zone) return !zones.empty();
+  return std::find(zones.begin(), zones.end(), *zone) != zones.end();
+}
+
+bool taskFits(const wire::JobSpec& spec, const wire::MachineType& machineType) {
+  return spec.allowsMachineType(machineType.label) && spec.each.fitsIn(machineType.capacity) &&
+         offeredInZone(machineType, spec.zone);
+}
+
+bool exceedsTeamLimit(const wire::JobSpec& spec, const config::Team& team) {
+  // The tasks of an array may run one after another.
+  const double concurrentTasks = spec.kind == wire::JobKind::array ? 1 : spec.taskCount;
+  const bool cpus = team.cpusMax > 0 && spec.each.vcpus * concurrentTasks > team.cpusMax + kRoundingSlack;
+  const bool gpus =
+      team.gpusMax > 0 && spec.each.accelerators * concurrentTasks > team.gpusMax + kRoundingSlack;
+  return cpus || gpus;
+}
+
+std::optional<std::string> whyNotRunnable(const wire::JobSpec& spec, const Catalog& catalog,
+                                          const config::Settings& settings) {
+  const config::Team* team = settings.team(spec.team);
+  if (team == nullptr) return "unknown team";
+  const bool fits = std::any_of(catalog.begin(), catalog.end(), [&](const wire::MachineType& machineType) {
+    return taskFits(spec, machineType);
+  });
+  if (!fits) return "a task fits no allowed machine type";
+  if (exceedsTeamLimit(spec, *team)) return "needs more than the team's limit";
+  return std::nullopt;
+}
+
+void dropUnknownMachineTypes(wire::JobSpec& spec, const Catalog& catalog) {
+  if (!spec.machineTypes) return;
+  std::erase_if(*spec.machineTypes, [&catalog](const std::string& label) {
+    return std::none_of(catalog.begin(), catalog.end(),
+                        [&label](const wire::MachineType& known) { return known.label == label; });
+  });
+}
+
+bool fitsStoredValue(const wire::JobSpec& spec, const config::Settings& settings) {
+  jobs::Job job;
+  job.spec = spec;
+  const auto bytes = static_cast<double>(jobs::encodeOpen(job).dump().size());
+  return bytes <= settings.stateValueKb * kBytesPerKb * constants::kValueFill;
+}
+
+}  // namespace
+
+std::optional<Rejection> admit(wire::JobSpec& spec, const Catalog& catalog,
+                               const config::Settings& settings) {
+  if (const auto reason = whyNotRunnable(spec, catalog, settings)) return Rejection{422, *reason};
+  dropUnknownMachineTypes(spec, catalog);
+  if (!fitsStoredValue(spec, settings)) return Rejection{422, "too large to be stored"};
+  return std::nullopt;
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/job_admission.hpp
@@ -0,0 +1,25 @@
+// Admission control: whether a valid job specification can ever run and be stored.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "config/settings.hpp"
+#include "wire/exchange.hpp"
+
+namespace reachhoist::service {
+
+// Why a job is refused.
+struct Rejection {
+  int status = 422;  // HTTP status
+  std::string reason;
+};
+
+// Checks the job against its team's limits, the machine types and the key-value store's limit on values.
+// Removes machine types that don't exist from the specification, since they can't matter and the stored
+// record has limited size. Nothing: the job is admitted.
+std::optional<Rejection> admit(wire::JobSpec& spec, const std::vector<wire::MachineType>& catalog,
+                               const config::Settings& settings);
+
+}  // namespace reachhoist::service
--- a/src/service/job_api.hpp
+++ b/src/service/job_api.hpp
@@ -1,61 +1,55 @@
-// The users' interface: submit, query, abort. Every controller that knows the machine types serves it.
+// The users' API: submit, query and abort jobs. Each controller that knows the machine types serves it.
 #pragma once
 
-#include <deque>
-#include <functional>
-#include <map>
 #include <string>
-#include <vector>
 
 #include "cluster/leadership.hpp"
 #include "jobs/jobs.hpp"
 #include "service/context.hpp"
+#include "service/job_admission.hpp"
+#include "service/submission_queue.hpp"
 #include "state/feed.hpp"
 
 namespace reachhoist::service {
 
+// Answers requests about jobs from the job table and the key-value store. Every request gets exactly one
+// reply, at once or later. Not thread-safe.
 class JobApi {
  public:
-  // Told of every job that this controller itself made known or ended.
-  using Applied = std::function<void(jobs::JobTable::Change, const std::string& ref)>;
-
-  // The leadership tells how the first gang fences off versions that can't read it.
+  // onJobChange: called for each job that this controller itself has accepted or ended.
   JobApi(Context& context, state::Feed& feed, jobs::JobTable& jobs, const cluster::Leadership& leadership,
-         Applied applied);
+         const OnJobChange& onJobChange);
 
+  // Accepts a job: 201, or 200 if it has been accepted before; 400 for a malformed body, 422 for a job that
+  // can never run, 503 if it should be submitted again. `body` is the request's body.
   void submit(std::uint64_t request, const std::string& body);
+  // Shows a job: 200, 404 or 503.
   void query(std::uint64_t request, const std::string& ref);
+  // Cancels a job: 200, also if it has ended before; 404 or 503.
   void abort(std::uint64_t request, const std::string& ref);
+  // To be called on each tick of the controller.
   void tick();
 
  private:
-  struct Submission {
-    wire::JobSpec spec;
-    std::vector<std::uint64_t> requests;
-    Time deadline{};
-    bool sent = false;
+  // An abort, which is repeated while the job's record changes concurrently.
+  struct Abort {
+    std::uint64_t request = 0;
+    std::string ref;
+    int attemptsLeft = 0;
   };
 
-  Json shown(const jobs::Job& job) const;
-  Json brief(const jobs::Job& job) const;
-  void answerKnown(std::uint64_t request, const std::string& ref);
-  std::optional<std::string> cannotRun(const wire::JobSpec& spec) const;
-  void refuse(std::uint64_t request, const std::string& ref, int status, const std::string& reason);
-  void sendSubmissions();
-  void onSubmissions(const std::vector<std::string>& refs, const std::vector<Json>& records,
-                     const wire::CallResult& result);
-  void giveUp(const std::string& ref);
-  void tryAbort(std::uint64_t request, const std::string& ref, int tries);
+  // Answers with the rejection, unless the key-value store knows the job as accepted.
+  void reject(std::uint64_t request, const std::string& ref, const Rejection& rejection);
+  void replyExisting(std::uint64_t request, const std::string& ref);
+  void tryAbort(const Abort& abort);
+  void retryAbort(const Abort& abort);
+  void onAbortWritten(const Abort& abort, const Json& record, const wire::CallResult& result);
 
   Context& context_;
   state::Feed& feed_;
   jobs::JobTable& jobs_;
-  const cluster::Leadership& leadership_;
-  Applied applied_;
-  std::map<std::string, Submission> submissions_;
-  std::deque<std::string> queue_;
-  int flying_ = 0;
-  Time resumeAt_{};
+  OnJobChange onJobChange_;
+  SubmissionQueue submissions_;
 };
 
 }  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/job_responses.cpp
@@ -0,0 +1,36 @@
+#include "service/job_responses.hpp"
+
+namespace reachhoist::service {
+
+Json jobStatus(const jobs::Job& job) {
+  // Only the leader tracks single tasks; the others show what it last sent them.
+  std::uint32_t done = job.tasks.empty() ? job.displayedDone : job.completed;
+  std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.running;
+  if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
+  if (!job.open()) running = 0;
+  return Json{{"ref", job.spec.ref.text},
+              {"stage", wire::name(job.displayedStage())},
+              {"done", done},
+              {"running", running}};
+}
+
+Json jobSummary(const jobs::Job& job) {
+  return Json{{"ref", job.spec.ref.text}, {"stage", wire::name(job.displayedStage())}};
+}
+
+void replyNoSuchJob(Context& context, std::uint64_t request) {
+  context.reply(request, 404, Json{{"error", "no such job"}});
+}
+
+void replyExistingJob(Context& context, state::Feed& feed, jobs::JobTable& jobs, std::uint64_t request,
+                      const std::string& ref) {
+  if (const jobs::Job* job = jobs.find(ref); job != nullptr && !job->open())
+    return context.reply(request, 200, jobSummary(*job));
+  feed.confirm(context.now, [&context, &jobs, request, ref](bool confirmed) {
+    const jobs::Job* job = jobs.find(ref);
+    if (!confirmed || job == nullptr) return context.later(request);
+    context.reply(request, 200, jobSummary(*job));
+  });
+}
+
+}  // namespace reachhoist::service
--- /dev/null
+++ b/src/service/submission_queue.cpp
@@ -0,0 +1,177 @@
+#include "service/submission_queue.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "service/job_responses.hpp"
+
+namespace reachhoist::service {
+
+namespace {
+
+constexpr int kMaxInFlight = 3;  // transactions; jobs that come while these are in flight share the next one
+constexpr std::size_t kMaxBatchBytes = 48 * 1024;  // of one transaction, which may hold 64 KiB
+// Users wait 2 s for an answer.
+constexpr std::chrono::milliseconds kSubmissionTimeout{1500};
+
+// Whether the conditions that failed include this key.
+bool conditionFailed(const Json* failedKeys, const std::string& key) {
+  return failedKeys != nullptr &&
+         std::find(failedKeys->begin(), failedKeys->end(), Json(key)) != failedKeys->end();
+}
+
+}  // namespace
+
+SubmissionQueue::SubmissionQueue(Context& context, state::Feed& feed, jobs::JobTable& jobs,
+                                 const cluster::Leadership& leadership, OnJobChange onJobChange)
+    : context_(context),
+      feed_(feed),
+      jobs_(jobs),
+      leadership_(leadership),
+      onJobChange_(std::move(onJobChange)) {}
+
+void SubmissionQueue::add(std::uint64_t request, const std::string& ref, const wire::JobSpec& spec) {
+  Submission& submission = submissions_[ref];
+  const bool isNew = submission.requests.empty();
+  submission.requests.push_back(request);
+  if (isNew) {
+    submission.spec = spec;
+    submission.deadline = context_.now + kSubmissionTimeout;
+    queue_.push_back(ref);
+  }
+  send();
+}
+
+// --- sending -----------------------------------------------------------------------------------------------
+
+void SubmissionQueue::send() {
+  while (!queue_.empty() && inFlight_ < kMaxInFlight && context_.now >= resumeAt_) {
+    Batch batch = nextBatch();
+    if (batch.jobs.empty()) return;
+    ++inFlight_;
+    auto done = [this, jobs = std::move(batch.jobs)](const wire::CallResult& result) {
+      --inFlight_;
+      onResult(jobs, result);
+      send();
+    };
+    context_.state.multi(context_.now, state::Urgency::accept, batch.transaction, std::move(done));
+  }
+}
+
+SubmissionQueue::Batch SubmissionQueue::nextBatch() {
+  Batch batch;
+  while (!queue_.empty() && hasSpace(batch)) {
+    const std::string ref = queue_.front();
+    const auto found = submissions_.find(ref);
+    if (found != submissions_.end() && mustRaiseLayout(found->second, batch) && !addLayoutRaise(batch)) {
+      // The gang goes into the next batch, which has space for the layout.
+      if (!batch.transaction.writes.empty()) break;
+      // No term is known yet.
+      queue_.pop_front();
+      giveUp(ref);
+      continue;
+    }
+    queue_.pop_front();
+    if (found != submissions_.end()) addJob(batch, ref, found->second);
+  }
+  return batch;
+}
+
+bool SubmissionQueue::hasSpace(const Batch& batch) const {
+  return batch.transaction.writes.size() < context_.settings.stateTxnOps && batch.bytes < kMaxBatchBytes;
+}
+
+bool SubmissionQueue::mustRaiseLayout(const Submission& submission, const Batch& batch) const {
+  return submission.spec.kind == wire::JobKind::gang && !leadership_.layoutRaised() && !batch.raisesLayout;
+}
+
+bool SubmissionQueue::addLayoutRaise(Batch& batch) const {
+  constexpr std::size_t kWritesWithGang = 2;  // the layout and the gang itself
+  const auto layout = leadership_.raiseLayout();
+  if (!layout || batch.transaction.writes.size() + kWritesWithGang > context_.settings.stateTxnOps)
+    return false;
+  batch.transaction.conditions.push_back(layout->first);
+  batch.transaction.writes.push_back(layout->second);
+  batch.raisesLayout = true;
+  return true;
+}
+
+void SubmissionQueue::addJob(Batch& batch, const std::string& ref, const Submission& submission) const {
+  jobs::Job job;
+  job.spec = submission.spec;
+  job.acceptedMs = context_.wallMs;
+  Json record = jobs::encodeOpen(job);
+  batch.bytes += record.dump().size();
+  // Revision 0: the job must not exist yet.
+  batch.transaction.conditions.push_back({jobs::jobKey(ref), 0});
+  batch.transaction.writes.push_back({jobs::jobKey(ref), record, std::nullopt});
+  batch.jobs.push_back(JobRecord{ref, std::move(record)});
+}
+
+// --- results -----------------------------------------------------------------------------------------------
+
+void SubmissionQueue::onResult(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
+  if (result.ok()) return onAccepted(batch, result);
+  if (result.status == 409) return onConflict(batch, result);
+  if (result.status == 429) return onRateLimited(batch);
+  // The write was refused, or its outcome is unknown. The user repeats the request, and the condition on the
+  // job's key makes that idempotent.
+  for (const JobRecord& job : batch) giveUp(job.ref);
+}
+
+void SubmissionQueue::onAccepted(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
+  const std::uint64_t revision = wire::countField(result.body, "ledger").value_or(0);
+  for (const auto& [ref, record] : batch) {
+    const auto change = jobs_.apply(ref, record, revision);
+    const auto submission = submissions_.extract(ref);
+    const jobs::Job& job = *jobs_.find(ref);
+    if (!submission.empty()) {
+      for (const std::uint64_t request : submission.mapped().requests)
+        context_.reply(request, 201, jobSummary(job));
+    }
+    onJobChange_(change, ref);
+  }
+}
+
+void SubmissionQueue::onConflict(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
+  // Some jobs were accepted before, perhaps by another controller; the others are sent again without them.
+  const Json* failedKeys = wire::field(result.body, "failed");
+  // The term's record has changed: the feed brings its new revision within moments.
+  if (conditionFailed(failedKeys, cluster::kTermKey)) resumeAt_ = context_.now + constants::kTick;
+  for (const JobRecord& job : batch) {
+    const bool exists =
+        failedKeys != nullptr && failedKeys->is_array() && conditionFailed(failedKeys, jobs::jobKey(job.ref));
+    if (exists) {
+      answerFromExisting(job.ref);
+    } else {
+      queue_.push_front(job.ref);
+    }
+  }
+}
+
+void SubmissionQueue::onRateLimited(const std::vector<JobRecord>& batch) {
+  resumeAt_ = context_.now + 2 * constants::kTick;
+  for (const JobRecord& job : batch) {
+    if (submissions_[job.ref].deadline <= resumeAt_) {
+      giveUp(job.ref);
+    } else {
+      queue_.push_front(job.ref);
+    }
+  }
+}
+
+void SubmissionQueue::answerFromExisting(const std::string& ref) {
+  const auto submission = submissions_.extract(ref);
+  if (submission.empty()) return;
+  feed_.confirm(context_.now, [this, ref, requests = submission.mapped().requests](bool) {
+    for (const std::uint64_t request : requests) replyExistingJob(context_, feed_, jobs_, request, ref);
+  });
+}
+
+void SubmissionQueue::giveUp(const std::string& ref) {
+  const auto submission = submissions_.extract(ref);
+  if (submission.empty()) return;
+  for (const std::uint64_t request : submission.mapped().requests) context_.later(request);
+}
+
+}  // namespace reachhoist::service
