--- a/src/admin/rpc/commands.cpp
+++ b/src/admin/rpc/commands.cpp
@@ -14,14 +14,18 @@
 
 namespace {
 
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr double kMillisecondsPerSecond = 1000;
+
 std::unique_ptr<v1::Shares::Stub> connect(const CommandOptions& options) {
   return v1::Shares::NewStub(grpc::CreateChannel(options.address, grpc::InsecureChannelCredentials()));
 }
 
-void prepare(grpc::ClientContext& context, const CommandOptions& options) {
+void setDeadline(grpc::ClientContext& context, const CommandOptions& options) {
   context.set_wait_for_ready(true);
-  context.set_deadline(std::chrono::system_clock::now() +
-                       std::chrono::milliseconds(static_cast<long>(options.deadlineS * 1000)));
+  context.set_deadline(std::chrono::system_clock::now() + std::chrono::milliseconds(static_cast<long>(
+                                                              options.deadlineS * kMillisecondsPerSecond)));
 }
 
 const char* codeName(grpc::StatusCode code) {
@@ -43,20 +47,22 @@
   }
 }
 
-int complain(const grpc::Status& status) {
+int reportFailure(const grpc::Status& status) {
   std::cerr << "reachhoist-admin: " << codeName(status.error_code()) << ": " << status.error_message()
             << "\n";
-  return 1;
+  return kFailure;
 }
 
+// 128 random bits in hex.
 std::string newRequestId() {
+  constexpr int kWords = 4;
   std::random_device random;
   std::ostringstream out;
-  for (int i = 0; i < 4; ++i) out << std::hex << std::setw(8) << std::setfill('0') << random();
+  for (int i = 0; i < kWords; ++i) out << std::hex << std::setw(8) << std::setfill('0') << random();
   return out.str();
 }
 
-// GROUP=WEIGHT; groups hold no equals sign.
+// Parses GROUP=WEIGHT, where the group has no equals sign; false if malformed.
 bool parseShare(const std::string& text, v1::Share& out) {
   const auto equals = text.rfind('=');
   if (equals == std::string::npos || equals + 1 == text.size()) return false;
@@ -66,7 +72,22 @@
   return *end == '\0';
 }
 
-void print(const v1::StatusReply& reply) {
+// False, with a line on standard error, if a share is malformed.
+bool fillRequest(const SetOptions& change, v1::SetRequest& request) {
+  request.set_request_id(change.requestId.empty() ? newRequestId() : change.requestId);
+  if (change.expectedGeneration) request.set_expected_generation(*change.expectedGeneration);
+  if (change.others) request.set_others(*change.others);
+  request.set_replace(change.replace);
+  for (const std::string& text : change.shares) {
+    if (parseShare(text, *request.add_set())) continue;
+    std::cerr << "reachhoist-admin: invalid: " << text << " must be GROUP=WEIGHT\n";
+    return false;
+  }
+  for (const std::string& group : change.remove) request.add_remove(group);
+  return true;
+}
+
+void printStatus(const v1::StatusReply& reply) {
   std::cout << "generation=" << reply.generation() << " reported=" << reply.reported_generation() << "\n";
   std::cout << std::fixed << std::setprecision(4);
   for (const v1::GroupStatus& group : reply.groups())
@@ -79,58 +100,50 @@
 
 int getShares(const CommandOptions& options) {
   grpc::ClientContext context;
-  prepare(context, options);
+  setDeadline(context, options);
   v1::Table table;
-  if (const auto status = connect(options)->Get(&context, {}, &table); !status.ok()) return complain(status);
+  if (const auto status = connect(options)->Get(&context, {}, &table); !status.ok())
+    return reportFailure(status);
   std::cout << "generation=" << table.generation() << "\n";
   for (const v1::Share& share : table.shares()) std::cout << share.group() << "=" << share.weight() << "\n";
   std::cout << "others=" << table.others() << "\n";
-  return 0;
+  return kSuccess;
 }
 
 int setShares(const CommandOptions& options, const SetOptions& change) {
   v1::SetRequest request;
-  request.set_request_id(change.requestId.empty() ? newRequestId() : change.requestId);
-  if (change.expectedGeneration) request.set_expected_generation(*change.expectedGeneration);
-  if (change.others) request.set_others(*change.others);
-  request.set_replace(change.replace);
-  for (const std::string& text : change.shares) {
-    if (parseShare(text, *request.add_set())) continue;
-    std::cerr << "reachhoist-admin: invalid: " << text << " must be GROUP=WEIGHT\n";
-    return 1;
-  }
-  for (const std::string& group : change.remove) request.add_remove(group);
+  if (!fillRequest(change, request)) return kFailure;
   grpc::ClientContext context;
-  prepare(context, options);
+  setDeadline(context, options);
   v1::SetReply reply;
   const auto status = connect(options)->Set(&context, request, &reply);
   if (!status.ok()) {
-    // Whoever repeats it with the same id makes one change, whatever became of this one.
+    // With this id the operator can repeat the request safely, even if it has been applied.
     std::cerr << "request_id=" << request.request_id() << "\n";
-    return complain(status);
+    return reportFailure(status);
   }
   std::cout << "generation=" << reply.generation() << (reply.repeated() ? " repeated" : "")
             << " request_id=" << request.request_id() << "\n";
-  return 0;
+  return kSuccess;
 }
 
 int showStatus(const CommandOptions& options) {
   grpc::ClientContext context;
-  prepare(context, options);
+  setDeadline(context, options);
   v1::StatusReply reply;
   if (const auto status = connect(options)->Status(&context, {}, &reply); !status.ok())
-    return complain(status);
-  print(reply);
-  return 0;
+    return reportFailure(status);
+  printStatus(reply);
+  return kSuccess;
 }
 
 int watchStatus(const CommandOptions& options) {
   grpc::ClientContext context;
   const auto stub = connect(options);
   const auto reader = stub->Watch(&context, {});
-  for (v1::StatusReply reply; reader->Read(&reply);) print(reply);
+  for (v1::StatusReply reply; reader->Read(&reply);) printStatus(reply);
   const auto status = reader->Finish();
-  return status.ok() ? 0 : complain(status);
+  return status.ok() ? kSuccess : reportFailure(status);
 }
 
 }  // namespace reachhoist::admin
--- a/src/admin/rpc/daemon.cpp
+++ b/src/admin/rpc/daemon.cpp
@@ -10,6 +10,22 @@
 
 namespace reachhoist::admin {
 
+namespace {
+
+constexpr std::chrono::seconds kShutdownGrace{1};  // for calls in flight
+
+// To be called before any thread starts: threads inherit the mask, so that only sigwait() takes the signals.
+sigset_t blockTerminationSignals() {
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, SIGTERM);
+  sigaddset(&signals, SIGINT);
+  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
+  return signals;
+}
+
+}  // namespace
+
 bool isLocal(const std::string& address) {
   constexpr std::uint32_t kLoopbackNet = 127;
   constexpr unsigned kNetShift = 24;
@@ -20,12 +36,7 @@
 }
 
 int serve(const config::Settings& settings, const std::string& address) {
-  // Blocked before any thread starts, so that only the wait below takes them.
-  sigset_t signals;
-  sigemptyset(&signals);
-  sigaddset(&signals, SIGTERM);
-  sigaddset(&signals, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
+  const sigset_t signals = blockTerminationSignals();
   std::signal(SIGPIPE, SIG_IGN);
   StateLoop loop(settings);
   loop.start();
@@ -41,9 +52,9 @@
   std::cerr << "event=admin_start listen=" << address << "\n";
   int signal = 0;
   sigwait(&signals, &signal);
-  server->Shutdown(std::chrono::system_clock::now() + std::chrono::seconds(1));
+  server->Shutdown(std::chrono::system_clock::now() + kShutdownGrace);
   std::cerr << "event=admin_stop\n";
-  // The thread of the state service never ends by itself, and holds nothing that must be saved.
+  // The thread of the StateLoop never ends by itself, and has nothing to save.
   std::_Exit(0);
 }
 
--- a/src/admin/rpc/daemon.hpp
+++ b/src/admin/rpc/daemon.hpp
@@ -7,11 +7,12 @@
 
 namespace reachhoist::admin {
 
-// Whether only this machine can reach the address: "unix:PATH", "127.x.x.x:PORT", "localhost:PORT" or
+// Whether the address can be reached from this host only: "unix:PATH", "127.x.x.x:PORT", "localhost:PORT" or
 // "[::1]:PORT".
 bool isLocal(const std::string& address);
 
-// Serves until the process is told to end (SIGTERM, SIGINT); the exit status.
+// Serves until SIGTERM or SIGINT, which end the process with status 0. Returns the exit status if the address
+// can't be bound.
 int serve(const config::Settings& settings, const std::string& address);
 
 }  // namespace reachhoist::admin
--- a/src/admin/rpc/main.cpp
+++ b/src/admin/rpc/main.cpp
@@ -10,6 +10,7 @@
 using reachhoist::admin::CommandOptions;
 using reachhoist::admin::SetOptions;
 
+// Serves until the process is ended; the exit status if it can't.
 int runDaemon(const std::string& configPath, const std::string& address) {
   if (!reachhoist::admin::isLocal(address)) {
     std::cerr << "reachhoist-admin: --listen must be a Unix socket or a loopback address\n";
--- a/src/admin/rpc/service.cpp
+++ b/src/admin/rpc/service.cpp
@@ -9,12 +9,11 @@
 using grpc::StatusCode;
 using std::chrono::system_clock;
 
-constexpr std::chrono::seconds kDeadlineMost{
-    30};                                       // a caller that names none, or a later one, waits this long
-constexpr std::chrono::seconds kWatchStep{1};  // between two looks whether the caller is still there
+constexpr std::chrono::seconds kMaxDeadline{30};   // for callers with none, or a later one
+constexpr std::chrono::seconds kWatchInterval{1};  // between checks whether the caller has cancelled
 
 StateLoop::Deadline deadlineOf(const grpc::ServerContext& context) {
-  return std::min<StateLoop::Deadline>(context.deadline(), system_clock::now() + kDeadlineMost);
+  return std::min<StateLoop::Deadline>(context.deadline(), system_clock::now() + kMaxDeadline);
 }
 
 grpc::Status failure(StatusCode code, const config::Problem& problem) {
@@ -23,7 +22,7 @@
 
 grpc::Status unavailable() { return {StatusCode::UNAVAILABLE, "the state service gave no answer in time"}; }
 
-grpc::Status statusOf(const EditResult& result) {
+grpc::Status toGrpcStatus(const EditResult& result) {
   switch (result.verdict) {
     case EditVerdict::changed:
     case EditVerdict::repeated:
@@ -42,8 +41,8 @@
   return {StatusCode::INTERNAL, "unknown verdict"};
 }
 
-std::optional<config::Problem> changeOf(const v1::SetRequest& request, shares::Change& out) {
-  const auto group = [](const std::string& text) { return shares::parseGroup(text); };
+// Nothing, or what is wrong with the request.
+std::optional<config::Problem> toChange(const v1::SetRequest& request, shares::Change& out) {
   const auto badGroup = [](const std::string& text) {
     return config::Problem{"group " + text, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
   };
@@ -52,14 +51,14 @@
   if (request.has_others()) out.othersWeight = request.others();
   out.replace = request.replace();
   for (const v1::Share& share : request.set()) {
-    const auto parsed = group(share.group());
-    if (!parsed) return badGroup(share.group());
-    out.set.push_back(shares::Share{*parsed, share.weight()});
+    const auto group = shares::parseGroup(share.group());
+    if (!group) return badGroup(share.group());
+    out.set.push_back(shares::Share{*group, share.weight()});
   }
   for (const std::string& text : request.remove()) {
-    const auto parsed = group(text);
-    if (!parsed) return badGroup(text);
-    out.remove.push_back(*parsed);
+    const auto group = shares::parseGroup(text);
+    if (!group) return badGroup(text);
+    out.remove.push_back(*group);
   }
   return std::nullopt;
 }
@@ -116,11 +115,11 @@
 grpc::Status SharesService::Set(grpc::ServerContext* context, const v1::SetRequest* request,
                                 v1::SetReply* reply) {
   shares::Change change;
-  if (const auto problem = changeOf(*request, change)) return failure(StatusCode::INVALID_ARGUMENT, *problem);
+  if (const auto problem = toChange(*request, change)) return failure(StatusCode::INVALID_ARGUMENT, *problem);
   const EditResult result = loop_.edit(std::move(change), deadlineOf(*context));
   reply->set_generation(result.generation);
   reply->set_repeated(result.verdict == EditVerdict::repeated);
-  return statusOf(result);
+  return toGrpcStatus(result);
 }
 
 grpc::Status SharesService::Status(grpc::ServerContext* context, const v1::StatusRequest*,
@@ -132,10 +131,10 @@
                                   grpc::ServerWriter<v1::StatusReply>* writer) {
   std::uint64_t seen = 0;
   for (bool first = true; !context->IsCancelled() && system_clock::now() < context->deadline();) {
-    if (!loop_.awaitStatus(seen, system_clock::now() + kWatchStep) && !first) continue;
+    if (!loop_.awaitStatus(seen, system_clock::now() + kWatchInterval) && !first) continue;
     first = false;
     v1::StatusReply reply;
-    auto status = readStatus(system_clock::now() + kDeadlineMost, reply);
+    auto status = readStatus(system_clock::now() + kMaxDeadline, reply);
     if (!status.ok()) return status;
     if (!writer->Write(reply)) break;
   }
--- a/src/admin/rpc/service.hpp
+++ b/src/admin/rpc/service.hpp
@@ -1,4 +1,4 @@
-// The RPC service that operators' tools call.
+// The gRPC service that operators' tools call; shares.proto documents its methods and errors.
 #pragma once
 
 #include "admin/rpc/shares.grpc.pb.h"
@@ -6,8 +6,10 @@
 
 namespace reachhoist::admin {
 
+// Its methods run in threads of the gRPC server and wait for the StateLoop. Deadlines are wall time.
 class SharesService final : public v1::Shares::Service {
  public:
+  // loop: must be started, and outlive the service.
   explicit SharesService(StateLoop& loop) : loop_(loop) {}
 
   grpc::Status Get(grpc::ServerContext* context, const v1::GetRequest* request, v1::Table* reply) override;
--- a/src/admin/rpc/state_loop.cpp
+++ b/src/admin/rpc/state_loop.cpp
@@ -5,23 +5,23 @@
 #include <thread>
 #include <utility>
 
-#include "calls/runner.hpp"
+#include "calls/executor.hpp"
 
 namespace reachhoist::admin {
 
 namespace {
-constexpr std::size_t kSockets = 8;
-constexpr std::chrono::milliseconds kTurn{10};
+constexpr std::size_t kMaxSockets = 8;
+constexpr std::chrono::milliseconds kLoopInterval{10};
 }  // namespace
 
 StateLoop::StateLoop(const config::Settings& settings)
     : settings_(settings),
-      http_(reactor_, kSockets),
+      http_(reactor_, kMaxSockets),
       client_(calls_, settings, constants::kAdminShare),
-      status_(client_, shares::kStatusKey, [this](const wire::Json*, std::uint64_t) {
+      statusWatch_(client_, shares::kStatusKey, [this](const wire::Json*, std::uint64_t) {
         const std::lock_guard lock(mutex_);
         ++statusChanges_;
-        changed_.notify_all();
+        statusChanged_.notify_all();
       }) {}
 
 void StateLoop::start() {
@@ -29,41 +29,50 @@
 }
 
 void StateLoop::run() {
-  status_.start(reactor_.now());
-  net::spawn(turn());
+  statusWatch_.start(reactor_.now());
+  net::spawn(iterate());
   reactor_.run();
 }
 
 void StateLoop::post(std::function<void()> action) {
   const std::lock_guard lock(mutex_);
-  posted_.push_back(std::move(action));
+  postedActions_.push_back(std::move(action));
 }
 
-net::Task<void> StateLoop::turn() {
+net::Task<void> StateLoop::iterate() {
   for (;;) {
-    std::vector<std::function<void()>> actions;
-    {
-      const std::lock_guard lock(mutex_);
-      actions = std::exchange(posted_, {});
-    }
-    for (const auto& action : actions) action();
+    runPostedActions();
     const auto now = reactor_.now();
     client_.pump(now);
-    status_.tick(now);
-    for (const auto& edit : edits_) edit->tick(now);
-    std::erase_if(edits_, [](const auto& edit) { return edit->finished(); });
+    statusWatch_.tick(now);
+    tickEdits(now);
     sendCalls();
-    co_await reactor_.sleepUntil(now + kTurn);
+    co_await reactor_.sleepUntil(now + kLoopInterval);
   }
 }
 
+void StateLoop::runPostedActions() {
+  std::vector<std::function<void()>> actions;
+  {
+    // Not held while the actions run, so that other threads can post meanwhile.
+    const std::lock_guard lock(mutex_);
+    actions = std::exchange(postedActions_, {});
+  }
+  for (const auto& action : actions) action();
+}
+
+void StateLoop::tickEdits(wire::Time now) {
+  for (const auto& edit : edits_) edit->tick(now);
+  std::erase_if(edits_, [](const auto& edit) { return edit->finished(); });
+}
+
 void StateLoop::sendCalls() {
-  for (wire::Call& call : calls_.drain()) net::spawn(carryOut(std::move(call)));
+  for (wire::Call& call : calls_.drain()) net::spawn(executeCall(std::move(call)));
 }
 
-net::Task<void> StateLoop::carryOut(wire::Call call) {
+net::Task<void> StateLoop::executeCall(wire::Call call) {
   const std::uint64_t number = call.number;
-  const wire::CallResult result = co_await calls::carryOut(http_, std::move(call));
+  const wire::CallResult result = co_await calls::execute(http_, std::move(call));
   calls_.complete(number, result);
   sendCalls();
 }
@@ -83,10 +92,10 @@
   const auto promise = std::make_shared<std::promise<EditResult>>();
   auto future = promise->get_future();
   post([this, change = std::move(change), promise, deadline] {
-    const auto left = deadline - std::chrono::system_clock::now();
-    const auto until = reactor_.now() + std::chrono::duration_cast<wire::Duration>(left);
+    const auto remaining = deadline - std::chrono::system_clock::now();
+    const auto steadyDeadline = reactor_.now() + std::chrono::duration_cast<wire::Duration>(remaining);
     auto edit =
-        std::make_shared<ShareEdit>(client_, settings_, change, until,
+        std::make_shared<ShareEdit>(client_, settings_, change, steadyDeadline,
                                     [promise](const EditResult& result) { promise->set_value(result); });
     edits_.push_back(edit);
     edit->start(reactor_.now());
@@ -98,7 +107,7 @@
 
 bool StateLoop::awaitStatus(std::uint64_t& seen, Deadline deadline) {
   std::unique_lock lock(mutex_);
-  if (!changed_.wait_until(lock, deadline, [&] { return statusChanges_ != seen; })) return false;
+  if (!statusChanged_.wait_until(lock, deadline, [&] { return statusChanges_ != seen; })) return false;
   seen = statusChanges_;
   return true;
 }
--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -1,4 +1,3 @@
-// Operators' edits of the fair-share table: read, compare-and-swap write, and retry until it applies.
 #include "admin/share_editor.hpp"
 
 #include <utility>
@@ -44,7 +43,7 @@
   if (state_ == State::waiting && now >= retryAt_) read();
 }
 
-void ShareEdit::retry() {
+void ShareEdit::scheduleRetry() {
   retryAt_ = now_ + constants::kStateBackoff;
   to(State::waiting);
 }
@@ -68,7 +67,7 @@
     return finish({EditVerdict::absent, 0, {"table", "is not stored: shares are off"}});
   const auto revision = wire::countField(result.body, "stamp");
   const wire::Json* value = wire::field(result.body, "value");
-  if (!result.ok() || !revision || value == nullptr) return retry();
+  if (!result.ok() || !revision || value == nullptr) return scheduleRetry();
   shares::Table table;
   if (const auto problem = shares::decode(*value, table)) return finish({EditVerdict::damaged, 0, *problem});
   const auto outcome = shares::apply(change_, settings_, table);
@@ -90,9 +89,9 @@
 
 void ShareEdit::onWritten(const wire::CallResult& result, std::uint64_t generation) {
   if (result.ok()) return finish({EditVerdict::changed, generation, {}});
-  // Somebody else was faster, or nobody knows: the table that is stored now tells, by the request's id,
-  // whether this was carried out.
-  retry();
+  // The write lost a race, or its outcome is unknown. The next read tells which: the stored table names the
+  // requests that have been applied.
+  scheduleRetry();
 }
 
 }  // namespace reachhoist::admin
--- a/src/admin/share_editor.hpp
+++ b/src/admin/share_editor.hpp
@@ -1,5 +1,6 @@
-// Changes of the table of shares on behalf of operators: read, change, write if nobody else has written
-// since. Runs on a client of the state service; no sockets here.
+// Changes of the fair-share table on behalf of operators: read, modify, compare-and-swap write, and retry
+// until the change is applied or the deadline has passed. Uses a client of the key-value store; has no
+// sockets.
 #pragma once
 
 #include <functional>
@@ -12,30 +13,41 @@
 
 using wire::Time;
 
-// changed: written. repeated: the request had been carried out before. stale: the table's generation is not
-// the expected one. invalid: the change or its result breaks the table's rules. absent: nothing is stored,
-// shares are off. damaged: what is stored can't be read. unavailable: no definite answer in time.
-enum class EditVerdict { changed, repeated, stale, invalid, absent, damaged, unavailable };
+// Outcome of a change of the table.
+enum class EditVerdict {
+  changed,      // written
+  repeated,     // this request id has been applied before; nothing was written
+  stale,        // the table's generation is not the expected one
+  invalid,      // the change or its result breaks the table's rules
+  absent,       // no table is stored: shares are off
+  damaged,      // the stored table can't be decoded
+  unavailable,  // no definite answer in time; the change may or may not have been applied
+};
 
+// What the operator is told of a change.
 struct EditResult {
   EditVerdict verdict = EditVerdict::unavailable;
-  std::uint64_t generation = 0;
-  config::Problem problem;
+  std::uint64_t generation = 0;  // of the stored table; 0 where it is not known
+  config::Problem problem;       // empty unless the change failed
 };
 
-// One change under way. Keeps itself alive until it is told what came of it.
+// One change in progress. Callbacks of the client hold a reference, so it lives until the last one has run.
 class ShareEdit : public std::enable_shared_from_this<ShareEdit> {
  public:
-  // reading: the stored table is asked for. writing: the changed table is being written. waiting: before the
-  // next try. finished: told.
+  // reading: a read of the stored table is in flight. writing: the compare-and-swap is in flight. waiting:
+  // for the next attempt, after a backoff. finished: the outcome has been reported.
   enum class State { reading, writing, waiting, finished };
   using Done = std::function<void(const EditResult&)>;
 
+  // client and settings must outlive the edit. done is called exactly once if tick() is called until
+  // finished().
   ShareEdit(state::Client& client, const config::Settings& settings, shares::Change change, Time deadline,
             Done done);
+  // Begins the first attempt; to be called once.
   void start(Time now);
-  // To be called now and then until it is finished.
+  // Drives retries and the deadline; call periodically until finished().
   void tick(Time now);
+  // Whether the outcome has been reported.
   bool finished() const { return state_ == State::finished; }
 
  private:
@@ -44,7 +56,7 @@
   void onRead(const wire::CallResult& result);
   void write(const shares::Table& table, std::uint64_t revision);
   void onWritten(const wire::CallResult& result, std::uint64_t generation);
-  void retry();
+  void scheduleRetry();
   void finish(const EditResult& result);
 
   state::Client& client_;
--- a/src/calls/runner.cpp
+++ b/src/calls/executor.cpp
@@ -1,8 +1,10 @@
-#include "calls/runner.hpp"
+#include "calls/executor.hpp"
+
+#include <utility>
 
 namespace reachhoist::calls {
 
-net::Task<wire::CallResult> carryOut(net::HttpClient& client, wire::Call call) {
+net::Task<wire::CallResult> execute(net::HttpClient& client, wire::Call call) {
   std::string body = call.body.is_null() ? std::string() : wire::encodeBody(call.body);
   const net::ClientResult answer =
       co_await client.call(call.endpoint, call.method, call.path, std::move(body), call.timeout);
@@ -16,7 +18,7 @@
   if (decoded) {
     result.body = std::move(*decoded);
   } else if (answer.status == 200) {
-    result.status = 0;  // a yes that can't be read is no answer
+    result.status = 0;  // callers rely on the body of a success, so without one the outcome is unknown
   }
   co_return result;
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,3 +1,4 @@
+// reachhoist: runs a controller, or checks a settings file.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -10,69 +11,98 @@
 
 namespace {
 
+using reachhoist::config::Problem;
+using reachhoist::config::Settings;
+using reachhoist::service::Level;
+
 constexpr const char* kVersion = "reachhoist " REACHHOIST_VERSION;
 
-reachhoist::service::Level levelFromEnvironment() {
+// Exit statuses.
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr int kUsageError = 2;
+
+struct Options {
+  std::string platformPath;   // --config
+  std::string operatorsPath;  // --operators
+  std::string checkPath;      // --check
+};
+
+void addOptions(CLI::App& app, Options& options) {
+  app.set_version_flag("--version", kVersion);
+  auto* run = app.add_option("--config", options.platformPath,
+                             "settings file of the platform (JSON); runs the service");
+  auto* check = app.add_option("--check", options.checkPath, "checks a settings file and exits");
+  app.add_option("--operators", options.operatorsPath, "operators' own settings (HCL blocks)");
+  run->excludes(check);
+}
+
+std::optional<Problem> loadSettings(const std::string& path, const std::string& operatorsPath,
+                                    Settings& settings) {
+  if (auto problem = reachhoist::config::loadPlatform(path, settings)) return problem;
+  if (!operatorsPath.empty()) {
+    if (auto problem = reachhoist::config::loadOperators(operatorsPath, settings)) return problem;
+  }
+  if (!settings.operators.shares.on) return std::nullopt;
+  reachhoist::shares::Table table;
+  return reachhoist::shares::fromOperators(settings, table);
+}
+
+Level levelFromEnvironment() {
   const char* text = std::getenv("LOG_LEVEL");
   const std::string level = text != nullptr ? text : "info";
-  if (level == "error") return reachhoist::service::Level::error;
-  if (level == "debug") return reachhoist::service::Level::debug;
-  return reachhoist::service::Level::info;
+  if (level == "error") return Level::error;
+  if (level == "debug") return Level::debug;
+  return Level::info;
 }
 
-spdlog::level::level_enum toSpdlog(reachhoist::service::Level level) {
+spdlog::level::level_enum toSpdlog(Level level) {
   switch (level) {
-    case reachhoist::service::Level::error:
+    case Level::error:
       return spdlog::level::err;
-    case reachhoist::service::Level::info:
+    case Level::info:
       return spdlog::level::info;
-    case reachhoist::service::Level::debug:
+    case Level::debug:
       return spdlog::level::debug;
   }
   return spdlog::level::info;
 }
 
+// Serves until the process is ended; the exit status if it can't.
+int serve(const Settings& settings) {
+  const Level level = levelFromEnvironment();
+  spdlog::logger logger("reachhoist", std::make_shared<spdlog::sinks::stderr_sink_st>());
+  logger.set_level(toSpdlog(level));
+  logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
+  logger.flush_on(spdlog::level::debug);
+  const auto sink = [&logger](Level of, const std::string& line) { logger.log(toSpdlog(of), line); };
+  reachhoist::service::Runtime runtime(settings, level, sink);
+  const Problem problem = runtime.run();
+  std::cerr << "reachhoist: " << problem.field << ": " << problem.reason << "\n";
+  return kFailure;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"reachhoist: a cluster scheduler that sizes its machine pools by learned, clamped steps"};
-  std::string platformPath;
-  std::string operatorsPath;
-  std::string checkPath;
-  app.set_version_flag("--version", kVersion);
-  auto* run =
-      app.add_option("--config", platformPath, "settings file of the platform (JSON); runs the service");
-  auto* check = app.add_option("--check", checkPath, "checks a settings file and exits");
-  app.add_option("--operators", operatorsPath, "operators' own settings (HCL blocks)");
-  run->excludes(check);
+  Options options;
+  addOptions(app, options);
   CLI11_PARSE(app, argc, argv);
-  const std::string& path = checkPath.empty() ? platformPath : checkPath;
+  const bool checkOnly = !options.checkPath.empty();
+  const std::string& path = checkOnly ? options.checkPath : options.platformPath;
   if (path.empty()) {
     std::cerr << "reachhoist: --config or --check is needed; see --help\n";
-    return 2;
+    return kUsageError;
   }
-  reachhoist::config::Settings settings;
-  auto problem = reachhoist::config::loadPlatform(path, settings);
-  if (!problem && !operatorsPath.empty())
-    problem = reachhoist::config::loadOperators(operatorsPath, settings);
-  if (reachhoist::shares::Table table; !problem && settings.operators.shares.on)
-    problem = reachhoist::shares::fromOperators(settings, table);
-  if (problem) {
+  Settings settings;
+  if (const auto problem = loadSettings(path, options.operatorsPath, settings)) {
     std::cerr << "reachhoist: " << problem->field << " " << problem->reason << "\n";
-    return 1;
+    return kFailure;
   }
-  if (!checkPath.empty()) {
+  if (checkOnly) {
     std::cout << "settings are good\n";
-    return 0;
+    return kSuccess;
   }
-  const auto level = levelFromEnvironment();
-  auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
-  spdlog::logger logger("reachhoist", sink);
-  logger.set_level(toSpdlog(level));
-  logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
-  logger.flush_on(spdlog::level::debug);
-  reachhoist::service::Runtime runtime(
-      settings, level, [&logger](auto of, const std::string& line) { logger.log(toSpdlog(of), line); });
-  std::cerr << "reachhoist: " << runtime.run() << "\n";
-  return 1;
+  return serve(settings);
 }
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -2,79 +2,104 @@
 
 #include <random>
 
-#include "calls/runner.hpp"
+#include "calls/executor.hpp"
 
 namespace reachhoist::service {
 
+namespace {
+
+// Milliseconds since the Unix epoch.
+std::int64_t wallMs() {
+  const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
+}
+
+}  // namespace
+
 Runtime::Runtime(const config::Settings& settings, Level level, Context::LogSink sink)
     : settings_(settings),
       controller_(settings, std::random_device{}(), level, std::move(sink)),
-      server_(reactor_, settings.serverSockets(),
-              [this](std::uint64_t number, net::HttpMessage request) {
-                controller_.onRequest(reactor_.now(), wallMs(),
-                                      Request{number, std::move(request.method), std::move(request.target),
-                                              std::move(request.body)});
-                act();
-              }),
+      server_(
+          reactor_, settings.serverSockets(),
+          [this](std::uint64_t number, net::HttpMessage request) { onRequest(number, std::move(request)); }),
       client_(reactor_, settings.ownCallSockets()),
-      peers_(reactor_, [this](const std::string& frame) {
-        if (const auto message = peer::decode(frame)) {
-          controller_.onPeer(reactor_.now(), wallMs(), *message);
-          act();
-        }
-      }) {}
-
-std::int64_t Runtime::wallMs() const {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(
-             std::chrono::system_clock::now().time_since_epoch())
-      .count();
+      peerListener_(reactor_, [this](const std::string& frame) { onFrame(frame); }) {}
+
+config::Problem Runtime::run() {
+  if (auto problem = listen()) return *problem;
+  if (auto problem = connectSiblings()) return *problem;
+  controller_.start(reactor_.now(), wallMs());
+  performActions();
+  net::spawn(tickLoop());
+  reactor_.run();
 }
 
-std::string Runtime::run() {
+std::optional<config::Problem> Runtime::listen() {
   net::Address bind;
   net::Address peerListen;
   std::string error;
-  if (!net::Address::parse(settings_.bind, bind)) return "bind: not an address";
-  if (!net::Address::parse(settings_.peerListen, peerListen)) return "peer_listen: not an address";
-  if (!server_.listen(bind, error)) return "bind: " + error;
-  if (!peers_.listen(peerListen, error)) return "peer_listen: " + error;
+  if (!net::Address::parse(settings_.bind, bind)) return config::Problem{"bind", "not an address"};
+  if (!net::Address::parse(settings_.peerListen, peerListen))
+    return config::Problem{"peer_listen", "not an address"};
+  if (!server_.listen(bind, error)) return config::Problem{"bind", error};
+  if (!peerListener_.listen(peerListen, error)) return config::Problem{"peer_listen", error};
+  return std::nullopt;
+}
+
+std::optional<config::Problem> Runtime::connectSiblings() {
   for (const config::Sibling& sibling : settings_.siblings) {
     net::Address address;
-    if (!net::Address::parse(sibling.endpoint, address)) return "siblings.endpoint: not an address";
-    links_[sibling.label] = std::make_unique<net::FrameSender>(reactor_, address);
+    if (!net::Address::parse(sibling.endpoint, address))
+      return config::Problem{"siblings.endpoint", "not an address"};
+    siblingLinks_[sibling.label] = std::make_unique<net::FrameSender>(reactor_, address);
   }
-  controller_.start(reactor_.now(), wallMs());
-  act();
-  net::spawn(tickLoop());
-  reactor_.run();
+  return std::nullopt;
 }
 
 net::Task<void> Runtime::tickLoop() {
   for (;;) {
     co_await reactor_.sleepUntil(reactor_.now() + constants::kTick);
     controller_.tick(reactor_.now(), wallMs());
-    act();
+    performActions();
   }
 }
 
-void Runtime::act() {
+void Runtime::onRequest(std::uint64_t number, net::HttpMessage request) {
+  controller_.onRequest(
+      reactor_.now(), wallMs(),
+      Request{number, std::move(request.method), std::move(request.target), std::move(request.body)});
+  performActions();
+}
+
+void Runtime::onFrame(const std::string& frame) {
+  const auto message = peer::decode(frame);
+  if (!message) return;
+  controller_.onPeer(reactor_.now(), wallMs(), *message);
+  performActions();
+}
+
+void Runtime::performActions() {
   Actions actions = controller_.drain();
-  for (Reply& reply : actions.replies) {
-    std::string body = reply.body.is_null() ? std::string() : wire::encodeBody(reply.body);
-    server_.answer(reply.request, net::HttpAnswer{reply.status, std::move(body), reply.retryAfterS});
-  }
-  for (PeerSend& send : actions.peers) {
-    if (const auto found = links_.find(send.to); found != links_.end())
-      found->second->send(peer::encode(send.message));
-  }
-  for (wire::Call& call : actions.calls) net::spawn(carryOut(std::move(call)));
+  for (const Reply& reply : actions.replies) sendReply(reply);
+  for (const PeerSend& send : actions.peers) sendToSibling(send);
+  for (wire::Call& call : actions.calls) net::spawn(executeCall(std::move(call)));
+}
+
+void Runtime::sendReply(const Reply& reply) {
+  std::string body = reply.body.is_null() ? std::string() : wire::encodeBody(reply.body);
+  server_.answer(reply.request, net::HttpAnswer{reply.status, std::move(body), reply.retryAfterS});
+}
+
+void Runtime::sendToSibling(const PeerSend& send) {
+  const auto link = siblingLinks_.find(send.to);
+  if (link != siblingLinks_.end()) link->second->send(peer::encode(send.message));
 }
 
-net::Task<void> Runtime::carryOut(wire::Call call) {
+net::Task<void> Runtime::executeCall(wire::Call call) {
   const std::uint64_t number = call.number;
-  const wire::CallResult result = co_await calls::carryOut(client_, std::move(call));
+  const wire::CallResult result = co_await calls::execute(client_, std::move(call));
   controller_.onResult(reactor_.now(), wallMs(), number, result);
-  act();
+  performActions();
 }
 
 }  // namespace reachhoist::service
