--- /dev/null
+++ b/tests/scenario/config.cpp
@@ -0,0 +1,160 @@
+#include "scenario/config.hpp"
+
+#include <map>
+
+namespace scenario {
+
+namespace {
+
+using Setting = void (*)(Config&, const Line&);
+
+void setZones(Config& config, const Line& line) {
+  config.settings.zones.assign(line.words.begin() + 1, line.words.end());
+}
+
+void setHeartbeatInterval(Config& config, const Line& line) {
+  config.settings.heartbeatIntervalS = line.real(1);
+}
+
+void setLease(Config& config, const Line& line) { config.settings.leaseS = line.real(1); }
+
+void setCancelLimit(Config& config, const Line& line) { config.settings.cancelS = line.real(1); }
+
+void setControllers(Config& config, const Line& line) { config.controllers = std::stoul(line.text(1)); }
+
+void setSockets(Config& config, const Line& line) {
+  config.settings.maxConnections = static_cast<unsigned>(std::stoul(line.text(1)));
+}
+
+void setLarge(Config& config, const Line&) { config.large = true; }
+
+void setClockSlowdown(Config& config, const Line& line) { config.clockSlowdown = line.real(1); }
+
+void setSeed(Config& config, const Line& line) { config.seed = std::stoull(line.text(1)); }
+
+void setEnd(Config& config, const Line& line) { config.endS = line.real(1); }
+
+void addTeam(Config& config, const Line& line) {
+  const Options options(line, 1);
+  config.settings.teams.push_back(
+      {line.text(1), options.real("guarantee", 0), options.real("most", 0), 0, 0});
+}
+
+void switchSharesOn(Config& config, const Line& line) {
+  const Options options(line, 1);
+  auto& shares = config.settings.operators.shares;
+  shares.on = true;
+  shares.generation = options.count("generation", std::uint64_t{1});
+  shares.othersWeight = options.real("others", 1);
+  shares.reclaimStep = options.real("step", shares.reclaimStep);
+}
+
+void addShare(Config& config, const Line& line) {
+  config.settings.operators.shares.groups.push_back({line.text(1), line.real(2)});
+}
+
+void addClass(Config& config, const Line& line) {
+  config.settings.objectives.push_back({"wait", line.text(1), Options(line, 1).real("within", 30), 0.9, 0});
+}
+
+void announceLowerLimits(Config& config, const Line& line) {
+  const Options options(line, 1);
+  config.settings.stateValueKb = options.real("kb", 2);
+  config.settings.stateTxnOps = options.count("ops", 4U);
+  config.lowerLimitsAnnounced = true;
+}
+
+void setGangTimes(Config& config, const Line& line) {
+  const Options options(line, 1);
+  config.settings.gangWaitS = options.real("wait", config.settings.gangWaitS);
+  config.settings.gangPeerS = options.real("peer", config.settings.gangPeerS);
+}
+
+void setRecords(Config& config, const Line& line) {
+  config.records = std::filesystem::path(FIXTURE_DIR) / line.text(1) / "state.json";
+}
+
+void setPartitions(Config& config, const Line& line) {
+  config.settings.initialPartitions = static_cast<unsigned>(std::stoul(line.text(1)));
+}
+
+void setStoreLimits(Config& config, const Line& line) {
+  const Options options(line, 1);
+  auto& limits = config.limits;
+  limits.rps = options.real("rps", limits.rps);
+  limits.writeRps = options.real("writes", limits.writeRps);
+  limits.txnOps = options.count("ops", limits.txnOps);
+  limits.valueKb = options.real("kb", limits.valueKb);
+}
+
+void addMachineType(Config& config, const Line& line) {
+  const Options options(line, 1);
+  standin::MachineTypeSpec spec;
+  spec.type.label = line.text(1);
+  spec.type.capacity = {options.real("cpus", 8), 0, options.real("mem", 32)};
+  spec.type.cacheGb = 50;
+  spec.type.pullGbPerS = options.real("pull", 1);
+  spec.type.rate = options.real("price", 0.4);
+  spec.type.marketPrice = options.real("market", 0.1);
+  spec.type.bootS = options.real("boot", 5);
+  spec.onDemandPerZone = options.count("ordinary", 10);
+  spec.spotPerZone = options.count("spot", 5);
+  config.machineTypes.push_back(spec);
+}
+
+const std::map<std::string, Setting>& settingsByWord() {
+  static const std::map<std::string, Setting> table{
+      {"zones", setZones},
+      {"report", setHeartbeatInterval},
+      {"lease", setLease},
+      {"cancel", setCancelLimit},
+      {"controllers", setControllers},
+      {"sockets", setSockets},
+      {"large", setLarge},
+      {"drift", setClockSlowdown},
+      {"seed", setSeed},
+      {"end", setEnd},
+      {"team", addTeam},
+      {"shares", switchSharesOn},
+      {"share", addShare},
+      {"class", addClass},
+      {"next", announceLowerLimits},
+      {"gang", setGangTimes},
+      {"records", setRecords},
+      {"parts", setPartitions},
+      {"state", setStoreLimits},
+      {"type", addMachineType},
+  };
+  return table;
+}
+
+}  // namespace
+
+Config::Config() {
+  settings.heartbeatIntervalS = 1.5;
+  settings.leaseS = 12;
+  settings.cancelS = 42;
+  settings.cloudListLagS = 4;
+  settings.zones = {"a", "b", "c"};
+}
+
+void Config::complete() {
+  for (std::size_t i = 0; i < controllers; ++i)
+    settings.siblings.push_back(
+        {"hoist-" + std::to_string(i), settings.zones[i % settings.zones.size()], "10.0.0.1:1"});
+  settings.label = "unset";
+  settings.cloudEndpoint = "cloud";
+  settings.stateEndpoint = "state";
+  settings.initialSize = 3;
+  if (settings.initialPartitions == 1) settings.initialPartitions = 3;
+  for (standin::MachineTypeSpec& spec : machineTypes) spec.type.zones = settings.zones;
+}
+
+bool applySetting(Config& config, const Line& line) {
+  const auto found = settingsByWord().find(line.text(0));
+  if (found == settingsByWord().end()) return false;
+  found->second(config, line);
+  return true;
+}
+
+}  // namespace scenario
--- /dev/null
+++ b/tests/standin/controllers.cpp
@@ -0,0 +1,169 @@
+#include "standin/controllers.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "standin/world.hpp"
+
+namespace standin {
+
+namespace {
+constexpr double kTickS = 0.05;
+constexpr double kResumeDelayS = 0.001;
+constexpr std::uint64_t kSeedsPerIncarnation = 1000;
+constexpr double kSeedMax = 1e6;
+}  // namespace
+
+void Controllers::create(const config::Settings& settings) {
+  for (const auto& sibling : settings.siblings) {
+    auto process = std::make_unique<ControllerProcess>();
+    process->settings = settings;
+    process->settings.label = sibling.label;
+    process->settings.area = sibling.area;
+    std::erase_if(process->settings.siblings,
+                  [&](const auto& other) { return other.label == sibling.label; });
+    processes_.push_back(std::move(process));
+  }
+}
+
+void Controllers::onLog(const std::string& label, const std::string& line) {
+  if (line.starts_with("event=elected")) ++world_.counters.elections;
+  if (line.starts_with("event=shares_refused")) ++world_.counters.shareTablesRefused;
+  if (world_.log) world_.log(std::to_string(world_.sim.now()) + " " + label + " " + line);
+}
+
+void Controllers::run(ControllerProcess& process) {
+  ++process.incarnation;
+  process.workerCallsInFlight = 0;
+  const std::uint64_t seed = kSeedsPerIncarnation * process.incarnation +
+                             static_cast<std::uint64_t>(world_.sim.uniform(0, kSeedMax));
+  process.controller = std::make_unique<service::Controller>(
+      process.settings, seed, service::Level::debug,
+      [this, label = process.label()](service::Level, const std::string& line) { onLog(label, line); });
+  process.suspendedUntilS = 0;
+  process.controller->start(world_.clock(), world_.sim.wallMs());
+  carryOutActions(process);
+  world_.sim.after(kTickS,
+                   [this, &process, incarnation = process.incarnation] { tick(process, incarnation); });
+}
+
+void Controllers::tick(ControllerProcess& process, std::uint64_t incarnation) {
+  if (process.incarnation != incarnation || !process.controller) return;
+  if (world_.sim.now() < process.suspendedUntilS)
+    return whenResumed(process, incarnation, [this, &process, incarnation] { tick(process, incarnation); });
+  process.controller->tick(world_.clock(), world_.sim.wallMs());
+  carryOutActions(process);
+  world_.sim.after(kTickS, [this, &process, incarnation] { tick(process, incarnation); });
+}
+
+void Controllers::whenResumed(ControllerProcess& process, std::uint64_t incarnation,
+                              std::function<void()> action) {
+  if (world_.sim.now() >= process.suspendedUntilS) {
+    if (process.incarnation == incarnation && process.controller) action();
+    return;
+  }
+  world_.sim.at(process.suspendedUntilS + kResumeDelayS,
+                [this, &process, incarnation, action = std::move(action)] {
+                  whenResumed(process, incarnation, action);
+                });
+}
+
+void Controllers::suspend(const std::string& label, double seconds) {
+  for (auto& process : processes_)
+    if (process->label() == label) process->suspendedUntilS = world_.sim.now() + seconds;
+}
+
+void Controllers::crash(const std::string& label, double restartAfterS) {
+  for (auto& entry : processes_) {
+    ControllerProcess& process = *entry;
+    if (process.label() != label || !process.controller) continue;
+    // The crash may be caused by one of the controller's own calls, so it must not be destroyed here.
+    const std::uint64_t incarnation = ++process.incarnation;
+    world_.sim.after(0, [this, &process, incarnation, restartAfterS] {
+      if (process.incarnation != incarnation) return;
+      stop(process);
+      world_.sim.after(restartAfterS, [this, &process, incarnation] {
+        if (process.incarnation == incarnation) world_.startController(process);
+      });
+    });
+  }
+}
+
+void Controllers::stop(ControllerProcess& process) {
+  process.controller.reset();
+  for (auto& [number, answer] : std::exchange(process.pendingReplies, {}))
+    answer(service::Reply{number, 0, {}, std::nullopt});
+}
+
+ControllerProcess* Controllers::leading() const {
+  for (const auto& process : processes_)
+    if (process->leading()) return process.get();
+  return nullptr;
+}
+
+std::string Controllers::leader() const {
+  const ControllerProcess* process = leading();
+  return process == nullptr ? "" : process->label();
+}
+
+ControllerProcess& Controllers::next() {
+  for (std::size_t i = 0; i < processes_.size(); ++i) {
+    ControllerProcess& process = *processes_[nextInTurn_++ % processes_.size()];
+    if (process.controller) return process;
+  }
+  return *processes_.front();
+}
+
+void Controllers::send(ControllerProcess& process, const std::string& method, const std::string& target,
+                       const std::string& body, Answer answer) {
+  world_.sim.after(Network::kHopS, [this, &process, method, target, body, answer = std::move(answer)] {
+    if (!process.controller) return answer(0, Json());
+    whenResumed(process, process.incarnation, [this, &process, method, target, body, answer] {
+      const std::uint64_t number = process.nextRequest++;
+      process.pendingReplies[number] = [answer](const service::Reply& reply) {
+        answer(reply.status, reply.body);
+      };
+      process.controller->onRequest(world_.clock(), world_.sim.wallMs(),
+                                    service::Request{number, method, target, body});
+      carryOutActions(process);
+    });
+  });
+}
+
+void Controllers::deliverResult(ControllerProcess& process, std::uint64_t call,
+                                const wire::CallResult& result) {
+  process.controller->onResult(world_.clock(), world_.sim.wallMs(), call, result);
+  carryOutActions(process);
+}
+
+void Controllers::carryOutActions(ControllerProcess& process) {
+  if (!process.controller) return;
+  const service::Actions actions = process.controller->drain();
+  for (const service::Reply& reply : actions.replies) {
+    auto found = process.pendingReplies.extract(reply.request);
+    if (found.empty()) continue;
+    world_.sim.after(Network::kHopS, [answer = std::move(found.mapped()), reply] { answer(reply); });
+  }
+  for (const service::PeerSend& send : actions.peers) sendToPeer(process, send);
+  for (const wire::Call& call : actions.calls) calls_.carryOut(process, call);
+}
+
+void Controllers::sendToPeer(ControllerProcess& process, const service::PeerSend& send) {
+  const Network& network = world_.network;
+  for (auto& entry : processes_) {
+    ControllerProcess& peer = *entry;
+    if (peer.label() != send.to || network.zonesPartitioned(process.settings.area, peer.settings.area))
+      continue;
+    if (network.partitionedFromPeers(process.label()) || network.partitionedFromPeers(peer.label())) continue;
+    // Encoded and decoded, so that the codec is part of every scenario.
+    const auto message = reachhoist::peer::decode(reachhoist::peer::encode(send.message));
+    world_.sim.after(Network::kHopS, [this, &peer, message] {
+      whenResumed(peer, peer.incarnation, [this, &peer, message] {
+        peer.controller->onPeer(world_.clock(), world_.sim.wallMs(), *message);
+        carryOutActions(peer);
+      });
+    });
+  }
+}
+
+}  // namespace standin
--- /dev/null
+++ b/tests/standin/key_value_store.hpp
@@ -0,0 +1,104 @@
+// Stand-in of the consensus-backed key-value store: keys, compare-and-swap transactions, leases, watches,
+// limits and outages.
+#pragma once
+
+#include <list>
+#include <map>
+#include <set>
+#include <string>
+
+#include "standin/sim.hpp"
+#include "state/token_bucket.hpp"
+
+namespace standin {
+
+using reachhoist::wire::Json;
+
+class KeyValueStore {
+ public:
+  using Answer = std::function<void(int status, Json body)>;
+  struct Limits {
+    double rps = 1000;
+    double writeRps = 1000;
+    double valueKb = 32;
+    std::size_t txnOps = 16;
+  };
+
+  KeyValueStore(Sim& sim, Limits limits);
+  // Serves one HTTP request of the client; `answer` may be called much later (watches).
+  void request(const std::string& client, const std::string& method, const std::string& path,
+               const Json& body, Answer answer);
+  // Nothing is answered for so long, and leases are extended by the outage.
+  void outage(double seconds);
+  // Only this client is refused for so long.
+  void deny(const std::string& client, double seconds) { deniedUntil_[client] = sim_.now() + seconds; }
+  // Called for each key that a transaction has just written.
+  std::function<void(const std::string& client, const std::string& key)> onApplied;
+  // Lowers the limits from now on, without notice.
+  void lowerLimits(double valueKb, std::size_t txnOps, double writeRps);
+  // Writes a key without a client, a condition or a limit.
+  void put(const std::string& key, const Json& value);
+  // The stored value, or an empty object.
+  Json value(const std::string& key) const;
+
+  std::size_t refusedBySize() const { return refusedBySize_; }
+  std::size_t requests() const { return requestCount_; }
+  std::size_t changes() const { return changeCount_; }
+
+ private:
+  struct Entry {
+    Json value;
+    std::uint64_t revision = 0;
+    std::uint64_t leaseId = 0;
+  };
+  struct Lease {
+    double ttlS = 0;
+    double expiresAt = 0;
+  };
+  struct Watch {
+    std::string client;
+    std::string prefix;
+    std::uint64_t afterRevision = 0;
+    double endsAt = 0;
+    Answer answer;
+  };
+  struct Change {
+    std::uint64_t revision = 0;
+    Json item;
+  };
+  bool down(const std::string& client) const;
+  void expireLeases();
+  void recordWrite(const std::string& key, const Json& value);
+  void recordDelete(const std::string& key);
+  Json changesSince(const std::string& prefix, std::uint64_t afterRevision) const;
+  void serveWatches();
+
+  void commit(const std::string& client, const Json& transaction, const Answer& answer);
+  bool withinOperationLimits(const Json& transaction) const;
+  Json failedConditions(const Json& conditions) const;
+  bool refuseInvalidChange(const Json& changes, const Answer& answer);
+  std::vector<std::string> apply(const Json& changes);
+  void grantLease(const Json& body, const Answer& answer);
+  void renewLease(const std::string& path, const Answer& answer);
+  void watch(const std::string& client, const std::string& path, Answer answer);
+  void list(const std::string& path, const Answer& answer) const;
+  void read(const std::string& path, const Answer& answer) const;
+
+  Sim& sim_;
+  Limits limits_;
+  std::uint64_t revision_ = 0;
+  std::uint64_t nextLeaseId_ = 1;
+  std::map<std::string, Entry> entries_;
+  std::map<std::uint64_t, Lease> leases_;
+  std::list<Watch> watches_;
+  std::vector<Change> log_;
+  std::map<std::string, double> deniedUntil_;
+  double downUntil_ = 0;
+  reachhoist::state::TokenBucket requestBudget_;
+  reachhoist::state::TokenBucket writeBudget_;
+  std::size_t refusedBySize_ = 0;
+  std::size_t requestCount_ = 0;
+  std::size_t changeCount_ = 0;
+};
+
+}  // namespace standin
--- /dev/null
+++ b/tests/standin/machine_info.hpp
@@ -0,0 +1,15 @@
+// What identifies a machine.
+#pragma once
+
+#include <string>
+
+namespace standin {
+
+struct MachineInfo {
+  std::string host;
+  std::string machineType;
+  std::string zone;
+  bool spot = false;
+};
+
+}  // namespace standin
--- /dev/null
+++ b/tests/standin/outgoing_calls.hpp
@@ -0,0 +1,40 @@
+// Calls of controllers to the key-value store, the cloud and workers.
+#pragma once
+
+#include <functional>
+#include <memory>
+
+#include "wire/exchange.hpp"
+
+namespace standin {
+
+class World;
+class Worker;
+struct ControllerProcess;
+
+// Carries out calls over the simulated network, with its delays, partitions and the injected faults. Each
+// call gets one result: the answer, or "no answer" after its timeout.
+class OutgoingCalls {
+ public:
+  explicit OutgoingCalls(World& world) : world_(world) {}
+  void carryOut(ControllerProcess& caller, const reachhoist::wire::Call& call);
+
+ private:
+  using Done = std::function<void(reachhoist::wire::CallResult)>;
+  struct InFlight {
+    ControllerProcess& caller;
+    std::uint64_t incarnation;  // of the caller
+    std::uint64_t number;       // of the call
+    bool toWorker;
+    bool finished = false;
+  };
+  void finish(const std::shared_ptr<InFlight>& inFlight, const reachhoist::wire::CallResult& result);
+  void callStore(const ControllerProcess& caller, const reachhoist::wire::Call& call, double hopS,
+                 const Done& done);
+  void callWorker(const ControllerProcess& caller, const reachhoist::wire::Call& call, const Done& done);
+  Worker* reachableWorker(const ControllerProcess& caller, const reachhoist::wire::Call& call) const;
+
+  World& world_;
+};
+
+}  // namespace standin
