--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -152,7 +152,7 @@
     return;
   }
   for (const Json& entry : *hosts) {
-    if (auto host = wire::decodeHost(entry)) {
+    if (auto host = wire::decodeInstance(entry)) {
       listAfter_ = host->ref.text;
       listSoFar_.push_back(std::move(*host));
     }
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -38,7 +38,7 @@
     // Hosts whose release the cloud confirmed: they are gone.
     std::function<void(const std::vector<std::string>& hosts)> released;
     // A complete walk through the cloud's instance list, page by page.
-    std::function<void(const std::vector<wire::HostEntry>& hosts)> listed;
+    std::function<void(const std::vector<wire::InstanceEntry>& hosts)> listed;
     // A fresh catalogue of machine types, fetched at start and then every constants::kCatalogEvery.
     std::function<void(std::vector<wire::MachineType> catalog)> catalog;
   };
@@ -93,7 +93,7 @@
   bool listing_ = false;
   Time nextList_{};
   std::string listAfter_;
-  std::vector<wire::HostEntry> listSoFar_;
+  std::vector<wire::InstanceEntry> listSoFar_;
   bool askingCatalog_ = false;
   Time nextCatalog_{};
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -60,10 +60,10 @@
   return "done/" + ref + "/" + std::to_string(chunk);
 }
 
-wire::Stage Job::displayedStage() const {
-  if (phase == JobPhase::done) return wire::Stage::done;
-  if (phase == JobPhase::cancelled) return wire::Stage::cancelled;
-  return (tasks.empty() ? displayedRunning : running) > 0 ? wire::Stage::running : wire::Stage::pending;
+wire::JobStage Job::displayedStage() const {
+  if (phase == JobPhase::done) return wire::JobStage::done;
+  if (phase == JobPhase::cancelled) return wire::JobStage::cancelled;
+  return (tasks.empty() ? displayedRunning : running) > 0 ? wire::JobStage::running : wire::JobStage::pending;
 }
 
 void Job::to(std::uint32_t index, TaskPhase next, Time now) {
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -71,7 +71,7 @@
   bool open() const { return phase == JobPhase::accepted; }
   bool isGang() const { return spec.kind == wire::JobKind::gang; }
   bool finished() const { return spec.kind != wire::JobKind::service && completed == spec.taskCount; }
-  wire::Stage displayedStage() const;
+  wire::JobStage displayedStage() const;
   // The one function that changes a task's phase.
   void to(std::uint32_t index, TaskPhase next, Time now);
   void beginTracking(Time now);
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -139,7 +139,7 @@
   void onInstancesProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
                               std::size_t refused);
   void onInstancesReleased(const std::vector<std::string>& hosts);
-  void onInstancesListed(const std::vector<wire::HostEntry>& hosts);
+  void onInstancesListed(const std::vector<wire::InstanceEntry>& hosts);
   void describe(Machine& machine);
   // Its tasks are stopped, or (gently) only those that go on elsewhere at once.
   void drain(Machine& machine, const char* why, bool gently = false);
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -59,9 +59,9 @@
   planDue_ = true;
 }
 
-void Leader::onInstancesListed(const std::vector<wire::HostEntry>& hosts) {
+void Leader::onInstancesListed(const std::vector<wire::InstanceEntry>& hosts) {
   std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const wire::HostEntry& entry : hosts) {
+  for (const wire::InstanceEntry& entry : hosts) {
     Machine* machine = machines_.find(entry.ref.text);
     const double lagS = 2 * context_.settings.cloudListLagS;
     if (machine == nullptr) {
@@ -78,16 +78,16 @@
       describe(stranger);
       // Nothing is placed on it, but an earlier leader had it up: it will report, and must not be taken for
       // one that never came up because of its age.
-      if (entry.stage == wire::HostStage::running) stranger.to(MachinePhase::up, context_.now);
+      if (entry.state == wire::InstanceState::running) stranger.to(MachinePhase::up, context_.now);
       machine = &stranger;
     }
     if (machine->endpoint.empty()) machine->endpoint = entry.endpoint;
-    if (entry.stage == wire::HostStage::failed && machine->phase != MachinePhase::terminating &&
+    if (entry.state == wire::InstanceState::failed && machine->phase != MachinePhase::terminating &&
         machine->phase != MachinePhase::terminated) {
       context_.event(Level::info, "machine_failed", {{"machine", entry.ref.text}});
       freeAllAttempts(*machine, "machine failed");
       decommission(*machine, "failed");
-    } else if (machine->phase == MachinePhase::booting && entry.stage == wire::HostStage::running) {
+    } else if (machine->phase == MachinePhase::booting && entry.state == wire::InstanceState::running) {
       // Counted from when it was first said to run: one that came up late has only just begun to report.
       if (machine->listedUpAt == Time{}) machine->listedUpAt = context_.now;
       const auto silent = context_.now - std::max(machine->listedUpAt, listeningSince());
--- a/src/service/leader_heartbeats.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -142,7 +142,7 @@
 
 void Leader::applyTaskStatus(Machine& machine, Attempt& attempt, const wire::TaskStatus& status) {
   attempt.incarnation = machine.incarnation;
-  switch (status.stage) {
+  switch (status.state) {
     case wire::TaskState::unfamiliar:
       // Whatever a later protocol says of it, it is there.
       if (!std::exchange(unfamiliarLogged_, true))
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -3,34 +3,40 @@
 
 namespace reachhoist::wire {
 
+namespace {
+constexpr EnumName<InstanceState> kInstanceStateNames[] = {{InstanceState::starting, "starting"},
+                                                           {InstanceState::running, "running"},
+                                                           {InstanceState::failed, "failed"}};
+
+Result<MachineType> decodeMachineType(const Json& body) {
+  MachineType machineType;
+  FieldReader fields(body);
+  fields.text("label", machineType.label);
+  fields.resources(machineType.capacity);
+  fields.amount("cacheGb", machineType.cacheGb);
+  fields.amount("pullGbPerS", machineType.pullGbPerS);
+  fields.amount("rate", machineType.rate);
+  fields.amount("marketPrice", machineType.marketPrice);
+  fields.amount("bootS", machineType.bootS);
+  if (const Json* zones = fields.list("yards")) {
+    for (const Json& zone : *zones)
+      if (zone.is_string()) machineType.zones.push_back(zone.get<std::string>());
+  }
+  return fields.result(std::move(machineType));
+}
+}  // namespace
+
 Result<std::vector<MachineType>> decodeCatalog(const Json& body) {
-  const Json* machineTypes = field(body, "rigs");
-  if (machineTypes == nullptr || !machineTypes->is_array())
+  const Json* list = field(body, "rigs");
+  if (list == nullptr || !list->is_array())
     return Result<std::vector<MachineType>>::failure("no list 'rigs'");
-  std::vector<MachineType> out;
-  for (const Json& entry : *machineTypes) {
-    MachineType machineType;
-    Fields fields(entry);
-    fields.text("label", machineType.label);
-    fields.amount("vcpus", machineType.capacity.vcpus);
-    fields.amount("accelerators", machineType.capacity.accelerators);
-    fields.amount("memoryGb", machineType.capacity.memoryGb);
-    fields.amount("cacheGb", machineType.cacheGb);
-    fields.amount("pullGbPerS", machineType.pullGbPerS);
-    fields.amount("rate", machineType.rate);
-    fields.amount("marketPrice", machineType.marketPrice);
-    fields.amount("bootS", machineType.bootS);
-    const Json* zones = field(entry, "yards");
-    if (zones == nullptr || !zones->is_array()) {
-      fields.complain("yards");
-    } else {
-      for (const Json& zone : *zones)
-        if (zone.is_string()) machineType.zones.push_back(zone.get<std::string>());
-    }
-    if (!fields.ok()) return Result<std::vector<MachineType>>::failure(fields.reason());
-    out.push_back(std::move(machineType));
+  std::vector<MachineType> catalog;
+  for (const Json& entry : *list) {
+    auto machineType = decodeMachineType(entry);
+    if (!machineType) return Result<std::vector<MachineType>>::failure(machineType.reason());
+    catalog.push_back(std::move(*machineType));
   }
-  return out;
+  return catalog;
 }
 
 Json encodeCatalog(const std::vector<MachineType>& machineTypes) {
@@ -50,28 +56,19 @@
   return Json{{"rigs", std::move(list)}};
 }
 
-Result<HostEntry> decodeHost(const Json& body) {
-  HostEntry host;
-  Fields fields(body);
-  std::string stage;
-  fields.text("ref", host.ref.text);
-  fields.text("endpoint", host.endpoint, true);
-  fields.text("rig", host.machineType);
-  fields.text("yard", host.zone);
-  fields.flag("loaners", host.spot);
-  fields.text("stage", stage);
-  host.ageS = amountField(body, "ageS").value_or(0);
-  if (stage == "starting") {
-    host.stage = HostStage::starting;
-  } else if (stage == "running") {
-    host.stage = HostStage::running;
-  } else if (stage == "failed") {
-    host.stage = HostStage::failed;
-  } else {
-    fields.complain("stage");
-  }
-  if (!fields.ok()) return Result<HostEntry>::failure(fields.reason());
-  return host;
+Result<InstanceEntry> decodeInstance(const Json& body) {
+  InstanceEntry instance;
+  FieldReader fields(body);
+  std::string state;
+  fields.text("ref", instance.ref.text);
+  fields.text("endpoint", instance.endpoint, true);
+  fields.text("rig", instance.machineType);
+  fields.text("yard", instance.zone);
+  fields.flag("loaners", instance.spot);
+  fields.text("stage", state);
+  fields.named("stage", kInstanceStateNames, state, instance.state);
+  instance.ageS = amountField(body, "ageS").value_or(0);
+  return fields.result(std::move(instance));
 }
 
 }  // namespace reachhoist::wire
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// A value, or one line that says what is wrong with the message.
+// A decoded value, or the reason why the message can't be decoded. Converts from the value.
 template <class T>
 class Result {
  public:
@@ -23,6 +23,7 @@
   T& operator*() { return std::get<T>(held_); }
   const T* operator->() const { return &std::get<T>(held_); }
   T* operator->() { return &std::get<T>(held_); }
+  // One line that says what is wrong with the message; only for a failure.
   const std::string& reason() const { return std::get<Reason>(held_).text; }
 
  private:
@@ -35,21 +36,30 @@
 
 // Checks the structure before anything is built: nesting, declared lengths, byte strings, trailing bytes.
 Result<Json> decodeBody(std::string_view bytes);
+// The value as CBOR.
 std::string encodeBody(const Json& body);
 
+// A submitted job. Fails at the first field that is missing or invalid; unknown fields are ignored.
 Result<JobSpec> decodeJob(const Json& body);
 Json encodeJob(const JobSpec& job);
+// A worker's heartbeat. Unknown task states and causes are taken as TaskState::unfamiliar.
 Result<WorkerHeartbeat> decodeHeartbeat(const Json& body);
 Json encodeHeartbeat(const WorkerHeartbeat& heartbeat);
+// Commands to a worker under a fencing token, as in the answer to a heartbeat.
 Json encodeCommands(std::uint64_t token, const std::vector<Command>& commands);
+// The cloud's machine types. Fails as a whole if one of them is invalid.
 Result<std::vector<MachineType>> decodeCatalog(const Json& body);
 Json encodeCatalog(const std::vector<MachineType>& machineTypes);
-Result<HostEntry> decodeHost(const Json& body);
+// One entry of the cloud's instance list.
+Result<InstanceEntry> decodeInstance(const Json& body);
 
-// Typed look-ups that never throw on a wrong type.
+// The field of a map; null if there is none or it is no map.
 const Json* field(const Json& map, const char* key);
+// Typed look-ups of a field: nothing if it is missing or of another type. They never throw.
 std::optional<std::string> textField(const Json& map, const char* key);
+// An integer that is not negative.
 std::optional<std::uint64_t> countField(const Json& map, const char* key);
+// A finite number that is neither negative nor absurdly large.
 std::optional<double> amountField(const Json& map, const char* key);
 std::optional<bool> flagField(const Json& map, const char* key);
 
--- /dev/null
+++ b/src/wire/enum_names.hpp
@@ -0,0 +1,34 @@
+// Tables of the names by which enumerators appear in messages, with look-up in both directions.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <string_view>
+
+namespace reachhoist::wire {
+
+// One row of a name table: an enumerator and its name.
+template <class Enum>
+struct EnumName {
+  Enum value;
+  std::string_view name;
+};
+
+// The name of an enumerator, or the fallback if the table has no row for it.
+template <class Enum, std::size_t Size>
+constexpr std::string_view nameIn(const EnumName<Enum> (&table)[Size], Enum value,
+                                  std::string_view fallback) {
+  for (const EnumName<Enum>& row : table)
+    if (row.value == value) return row.name;
+  return fallback;
+}
+
+// The enumerator of that name, or nothing if the table has no such name.
+template <class Enum, std::size_t Size>
+constexpr std::optional<Enum> valueIn(const EnumName<Enum> (&table)[Size], std::string_view name) {
+  for (const EnumName<Enum>& row : table)
+    if (row.name == name) return row.value;
+  return std::nullopt;
+}
+
+}  // namespace reachhoist::wire
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -1,4 +1,3 @@
-// Typed look-ups of fields.
 #include "wire/fields.hpp"
 
 #include <cmath>
@@ -39,4 +38,39 @@
   return found->get<bool>();
 }
 
+void FieldReader::text(const char* key, std::string& out, bool mayBeEmpty) {
+  const auto value = textField(map_, key);
+  if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxTextBytes) return fail(key);
+  out = *value;
+}
+
+void FieldReader::optionalAmount(const char* key, std::optional<double>& out) {
+  if (!present(key)) return;
+  double value = 0;
+  amount(key, value);
+  out = value;
+}
+
+void FieldReader::resources(Resources& out) {
+  amount("vcpus", out.vcpus);
+  amount("accelerators", out.accelerators);
+  amount("memoryGb", out.memoryGb);
+}
+
+const Json* FieldReader::list(const char* key) {
+  const Json* found = field(map_, key);
+  if (found != nullptr && found->is_array()) return found;
+  fail(key);
+  return nullptr;
+}
+
+bool FieldReader::present(const char* key) const {
+  const Json* found = field(map_, key);
+  return found != nullptr && !found->is_null();
+}
+
+void FieldReader::fail(const char* key) {
+  if (reason_.empty()) reason_ = std::string("field '") + key + "' is missing or invalid";
+}
+
 }  // namespace reachhoist::wire
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -1,57 +1,61 @@
 // Checked reading of a message's fields. Internal to the package.
 #pragma once
 
-#include <cmath>
-
 #include "wire/codec.hpp"
+#include "wire/enum_names.hpp"
 
 namespace reachhoist::wire {
 
-inline constexpr std::size_t kMaxText = 200;  // bytes of a name: the state service's longest key
-inline constexpr double kMaxAmount = 1e12;    // amounts above this are taken for garbage
+inline constexpr std::size_t kMaxTextBytes = 200;  // the longest key of the key-value store
+inline constexpr double kMaxAmount = 1e12;         // a greater amount is an error of the sender
 
-// Collects the first complaint about a map's fields.
-class Fields {
+// Reads the fields of a map and keeps the reason of the first failure. A field that can't be read leaves its
+// output unchanged.
+class FieldReader {
  public:
-  explicit Fields(const Json& map) : map_(map) {}
-
-  void text(const char* key, std::string& out, bool mayBeEmpty = false) {
-    const auto value = textField(map_, key);
-    if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxText) return complain(key);
-    out = *value;
-  }
-  void amount(const char* key, double& out) {
-    const auto value = amountField(map_, key);
-    if (!value) return complain(key);
-    out = *value;
+  explicit FieldReader(const Json& map) : map_(map) {}
+
+  // Text of 1 to kMaxTextBytes bytes, or 0 if it may be empty.
+  void text(const char* key, std::string& out, bool mayBeEmpty = false);
+  // A finite number between 0 and kMaxAmount.
+  void amount(const char* key, double& out) { required(key, amountField(map_, key), out); }
+  // An integer that is not negative.
+  void count(const char* key, std::uint64_t& out) { required(key, countField(map_, key), out); }
+  void flag(const char* key, bool& out) { required(key, flagField(map_, key), out); }
+  // An amount that may be absent or null.
+  void optionalAmount(const char* key, std::optional<double>& out);
+  // The amounts of each resource.
+  void resources(Resources& out);
+  // The enumerator that the table has under the name, which was read from the field before.
+  template <class Enum, std::size_t Size>
+  void named(const char* key, const EnumName<Enum> (&table)[Size], std::string_view name, Enum& out) {
+    required(key, valueIn(table, name), out);
   }
-  void count(const char* key, std::uint64_t& out) {
-    const auto value = countField(map_, key);
-    if (!value) return complain(key);
-    out = *value;
+
+  // The list in the field; null, and a failure, if there is none.
+  const Json* list(const char* key);
+  // Whether the field is there and not null.
+  bool present(const char* key) const;
+  // Records that the field is missing or invalid, unless there was a failure before.
+  void fail(const char* key);
+
+  bool ok() const { return reason_.empty(); }
+  // One line that names the first field that failed.
+  const std::string& reason() const { return reason_; }
+  // The message read from the fields, or the failure.
+  template <class Message>
+  Result<Message> result(Message message) const {
+    if (!ok()) return Result<Message>::failure(reason_);
+    return message;
   }
-  void flag(const char* key, bool& out) {
-    const auto value = flagField(map_, key);
-    if (!value) return complain(key);
+
+ private:
+  template <class Value>
+  void required(const char* key, const std::optional<Value>& value, Value& out) {
+    if (!value) return fail(key);
     out = *value;
   }
-  void optionalAmount(const char* key, std::optional<double>& out) {
-    if (!present(key)) return;
-    double value = 0;
-    amount(key, value);
-    out = value;
-  }
-  bool present(const char* key) const {
-    const Json* found = field(map_, key);
-    return found != nullptr && !found->is_null();
-  }
-  void complain(const char* key) {
-    if (reason_.empty()) reason_ = std::string("field '") + key + "' is missing or invalid";
-  }
-  const std::string& reason() const { return reason_; }
-  bool ok() const { return reason_.empty(); }
 
- private:
   const Json& map_;
   std::string reason_;
 };
--- a/src/wire/heartbeats.cpp
+++ b/src/wire/heartbeats.cpp
@@ -1,65 +1,52 @@
-// Reports of workers, and the orders they are answered with.
+// Heartbeats of workers, and the commands in their answers.
 #include "wire/fields.hpp"
 
 namespace reachhoist::wire {
 
 namespace {
 
-TaskState taskStage(const std::string& text) {
-  if (text == "pulling") return TaskState::pulling;
-  if (text == "waiting") return TaskState::waiting;
-  if (text == "running") return TaskState::running;
-  if (text == "saving") return TaskState::saving;
-  if (text == "ended") return TaskState::ended;
-  return TaskState::unfamiliar;
-}
+constexpr EnumName<TaskState> kTaskStateNames[] = {{TaskState::pulling, "pulling"},
+                                                   {TaskState::waiting, "waiting"},
+                                                   {TaskState::running, "running"},
+                                                   {TaskState::saving, "saving"},
+                                                   {TaskState::ended, "ended"}};
 
-std::string_view name(TaskState stage) {
-  switch (stage) {
-    case TaskState::pulling:
-      return "pulling";
-    case TaskState::waiting:
-      return "waiting";
-    case TaskState::running:
-      return "running";
-    case TaskState::saving:
-      return "saving";
-    case TaskState::ended:
-      return "ended";
-    case TaskState::unfamiliar:
-      return "unfamiliar";
-  }
-  return "ended";
-}
+constexpr EnumName<Cause> kCauseNames[] = {{Cause::done, "done"},    {Cause::halted, "halted"},
+                                           {Cause::error, "error"},  {Cause::insufficientCapacity, "no_room"},
+                                           {Cause::inUse, "in_use"}, {Cause::unknown, "unknown"},
+                                           {Cause::peers, "peers"},  {Cause::alone, "alone"}};
 
-constexpr std::pair<Cause, std::string_view> kCauses[] = {
-    {Cause::done, "done"},    {Cause::halted, "halted"},
-    {Cause::error, "error"},  {Cause::insufficientCapacity, "no_room"},
-    {Cause::inUse, "in_use"}, {Cause::unknown, "unknown"},
-    {Cause::peers, "peers"},  {Cause::alone, "alone"}};
+constexpr EnumName<CommandVerb> kCommandVerbNames[] = {
+    {CommandVerb::start, "launch"}, {CommandVerb::stop, "halt"}, {CommandVerb::forget, "reap"}};
 
-std::optional<Cause> cause(const std::string& text) {
-  for (const auto& [value, label] : kCauses)
-    if (label == text) return value;
-  return std::nullopt;
-}
-
-std::string_view name(Cause value) {
-  for (const auto& [known, label] : kCauses)
-    if (known == value) return label;
-  return "error";
+// Nothing if the entry lacks the task, the attempt or the state. A state or cause that this version does not
+// know is no error.
+std::optional<TaskStatus> decodeTaskStatus(const Json& entry) {
+  const auto id = parseTaskId(textField(entry, "load").value_or(""));
+  const auto attempt = countField(entry, "try");
+  const auto state = textField(entry, "stage");
+  if (!id || !attempt || !state) return std::nullopt;
+  TaskStatus status;
+  status.task = *id;
+  status.attempt = *attempt;
+  status.state = valueIn(kTaskStateNames, *state).value_or(TaskState::unfamiliar);
+  if (status.state == TaskState::ended) {
+    const auto cause = valueIn(kCauseNames, textField(entry, "cause").value_or(""));
+    if (!cause) status.state = TaskState::unfamiliar;
+    status.cause = cause.value_or(Cause::none);
+  }
+  status.stored = flagField(entry, "stored").value_or(false);
+  return status;
 }
 
-std::string_view name(CommandVerb verb) {
-  switch (verb) {
-    case CommandVerb::start:
-      return "launch";
-    case CommandVerb::stop:
-      return "halt";
-    case CommandVerb::forget:
-      return "reap";
+void readTasks(FieldReader& fields, std::vector<TaskStatus>& out) {
+  const Json* tasks = fields.list("loads");
+  if (tasks == nullptr) return;
+  for (const Json& entry : *tasks) {
+    auto status = decodeTaskStatus(entry);
+    if (!status) return fields.fail("loads");
+    out.push_back(std::move(*status));
   }
-  return "halt";
 }
 
 }  // namespace
@@ -67,7 +54,7 @@
 Result<WorkerHeartbeat> decodeHeartbeat(const Json& body) {
   if (!body.is_object()) return Result<WorkerHeartbeat>::failure("body is not a map");
   WorkerHeartbeat heartbeat;
-  Fields fields(body);
+  FieldReader fields(body);
   fields.text("host", heartbeat.host.text);
   fields.text("endpoint", heartbeat.endpoint);
   fields.text("rig", heartbeat.machineType);
@@ -77,40 +64,17 @@
   fields.count("tally", heartbeat.sequence);
   fields.count("baton", heartbeat.token);
   fields.optionalAmount("recallS", heartbeat.spotNoticeS);
-  const Json* tasks = field(body, "loads");
-  if (tasks == nullptr || !tasks->is_array()) {
-    fields.complain("loads");
-  } else {
-    for (const Json& entry : *tasks) {
-      TaskStatus status;
-      const auto id = parseTaskId(textField(entry, "load").value_or(""));
-      const auto attempt = countField(entry, "try");
-      const auto stage = textField(entry, "stage");
-      if (!id || !attempt || !stage) {
-        fields.complain("loads");
-        break;
-      }
-      status.task = *id;
-      status.attempt = *attempt;
-      status.stage = taskStage(*stage);
-      if (status.stage == TaskState::ended) {
-        const auto why = cause(textField(entry, "cause").value_or(""));
-        if (!why) status.stage = TaskState::unfamiliar;
-        status.cause = why.value_or(Cause::none);
-      }
-      status.stored = flagField(entry, "stored").value_or(false);
-      heartbeat.tasks.push_back(std::move(status));
-    }
-  }
-  if (!fields.ok()) return Result<WorkerHeartbeat>::failure(fields.reason());
-  return heartbeat;
+  readTasks(fields, heartbeat.tasks);
+  return fields.result(std::move(heartbeat));
 }
 
 Json encodeHeartbeat(const WorkerHeartbeat& heartbeat) {
   Json tasks = Json::array();
   for (const TaskStatus& status : heartbeat.tasks) {
-    Json entry{{"load", status.task.str()}, {"try", status.attempt}, {"stage", name(status.stage)}};
-    if (status.stage == TaskState::ended) entry["cause"] = name(status.cause);
+    Json entry{{"load", status.task.str()},
+               {"try", status.attempt},
+               {"stage", nameIn(kTaskStateNames, status.state, "unfamiliar")}};
+    if (status.state == TaskState::ended) entry["cause"] = nameIn(kCauseNames, status.cause, "error");
     if (status.stored) entry["stored"] = true;
     tasks.push_back(std::move(entry));
   }
@@ -124,7 +88,9 @@
 Json encodeCommands(std::uint64_t token, const std::vector<Command>& commands) {
   Json list = Json::array();
   for (const Command& command : commands) {
-    Json entry{{"verb", name(command.verb)}, {"load", command.task.str()}, {"try", command.attempt}};
+    Json entry{{"verb", nameIn(kCommandVerbNames, command.verb, "halt")},
+               {"load", command.task.str()},
+               {"try", command.attempt}};
     if (command.verb == CommandVerb::stop) entry["windDownS"] = command.graceS;
     list.push_back(std::move(entry));
   }
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -1,30 +1,45 @@
-// Submissions.
+// Submitted jobs.
 #include "wire/fields.hpp"
+#include "wire/job_names.hpp"
 
 namespace reachhoist::wire {
 
 namespace {
 constexpr std::uint32_t kMaxTaskCount = 100'000;  // tasks of a job, from the protocol
 constexpr std::size_t kMaxMachineTypes = 100;     // entries of a job's `rigs`
+
+void readMachineTypes(FieldReader& fields, const Json& list, std::vector<std::string>& out) {
+  if (!list.is_array() || list.size() > kMaxMachineTypes) return fields.fail("rigs");
+  for (const Json& machineType : list) {
+    if (!machineType.is_string() || machineType.get_ref<const std::string&>().size() > kMaxTextBytes)
+      return fields.fail("rigs");
+    out.push_back(machineType.get<std::string>());
+  }
+}
+
+// Where the job may run.
+void readConstraints(FieldReader& fields, const Json& body, JobSpec& job) {
+  if (fields.present("yard")) fields.text("yard", job.zone.emplace());
+  if (fields.present("rigs")) readMachineTypes(fields, *field(body, "rigs"), job.machineTypes.emplace());
+}
 }  // namespace
 
 Result<JobSpec> decodeJob(const Json& body) {
   if (!body.is_object()) return Result<JobSpec>::failure("body is not a map");
   JobSpec job;
-  Fields fields(body);
+  FieldReader fields(body);
   std::string kind;
   std::string priority;
   std::uint64_t taskCount = 0;
+  // The order decides which of several failures the user is told.
   fields.text("ref", job.ref.text);
-  if (fields.ok() && !validJobRef(job.ref.text)) fields.complain("ref");
+  if (fields.ok() && !validJobRef(job.ref.text)) fields.fail("ref");
   fields.text("lane", job.jobClass);
   fields.text("crew", job.team);
   fields.text("shape", kind);
   fields.text("rank", priority);
   fields.count("loads", taskCount);
-  fields.amount("vcpus", job.each.vcpus);
-  fields.amount("accelerators", job.each.accelerators);
-  fields.amount("memoryGb", job.each.memoryGb);
+  fields.resources(job.each);
   fields.flag("oneZone", job.oneZone);
   fields.flag("apart", job.apart);
   fields.flag("loaners", job.spot);
@@ -34,46 +49,12 @@
   fields.amount("stowEveryS", job.checkpointEveryS);
   fields.amount("stowS", job.checkpointS);
   fields.optionalAmount("dueS", job.dueS);
-  if (fields.present("yard")) {
-    job.zone.emplace();
-    fields.text("yard", *job.zone);
-  }
-  if (fields.present("rigs")) {
-    const Json& machineTypes = *field(body, "rigs");
-    if (!machineTypes.is_array() || machineTypes.size() > kMaxMachineTypes) {
-      fields.complain("rigs");
-    } else {
-      job.machineTypes.emplace();
-      for (const Json& machineType : machineTypes) {
-        if (!machineType.is_string() || machineType.get_ref<const std::string&>().size() > kMaxText) {
-          fields.complain("rigs");
-          break;
-        }
-        job.machineTypes->push_back(machineType.get<std::string>());
-      }
-    }
-  }
-  if (taskCount < 1 || taskCount > kMaxTaskCount) fields.complain("loads");
+  readConstraints(fields, body, job);
+  if (taskCount < 1 || taskCount > kMaxTaskCount) fields.fail("loads");
   job.taskCount = static_cast<std::uint32_t>(taskCount);
-  if (kind == "sweep") {
-    job.kind = JobKind::array;
-  } else if (kind == "daemon") {
-    job.kind = JobKind::service;
-  } else if (kind == name(JobKind::gang)) {
-    job.kind = JobKind::gang;
-  } else {
-    fields.complain("shape");
-  }
-  bool known = false;
-  for (const Priority value : {Priority::best_effort, Priority::standard, Priority::high, Priority::prod}) {
-    if (priority == name(value)) {
-      job.priority = value;
-      known = true;
-    }
-  }
-  if (!known) fields.complain("rank");
-  if (!fields.ok()) return Result<JobSpec>::failure(fields.reason());
-  return job;
+  fields.named("shape", kJobKindNames, kind, job.kind);
+  fields.named("rank", kPriorityNames, priority, job.priority);
+  return fields.result(std::move(job));
 }
 
 Json encodeJob(const JobSpec& job) {
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -3,12 +3,19 @@
 #include <algorithm>
 #include <charconv>
 
+#include "wire/job_names.hpp"
+
 namespace reachhoist::wire {
 
 namespace {
 constexpr std::string_view kJobPrefix = "job-";
 constexpr std::size_t kMaxRefDigits = 18;
 constexpr double kRoundingSlack = 1e-6;
+
+constexpr EnumName<JobStage> kJobStageNames[] = {{JobStage::pending, "pending"},
+                                                 {JobStage::running, "running"},
+                                                 {JobStage::done, "done"},
+                                                 {JobStage::cancelled, "cancelled"}};
 }  // namespace
 
 bool validJobRef(std::string_view text) {
@@ -28,45 +35,9 @@
   return id;
 }
 
-std::string_view name(JobKind kind) {
-  switch (kind) {
-    case JobKind::array:
-      return "sweep";
-    case JobKind::service:
-      return "daemon";
-    case JobKind::gang:
-      return "ensemble";
-  }
-  return "sweep";
-}
-
-std::string_view name(Priority priority) {
-  switch (priority) {
-    case Priority::best_effort:
-      return "best_effort";
-    case Priority::standard:
-      return "standard";
-    case Priority::high:
-      return "high";
-    case Priority::prod:
-      return "prod";
-  }
-  return "standard";
-}
-
-std::string_view name(Stage stage) {
-  switch (stage) {
-    case Stage::pending:
-      return "pending";
-    case Stage::running:
-      return "running";
-    case Stage::done:
-      return "done";
-    case Stage::cancelled:
-      return "cancelled";
-  }
-  return "pending";
-}
+std::string_view name(JobKind kind) { return nameIn(kJobKindNames, kind, "sweep"); }
+std::string_view name(Priority priority) { return nameIn(kPriorityNames, priority, "standard"); }
+std::string_view name(JobStage stage) { return nameIn(kJobStageNames, stage, "pending"); }
 
 Resources& Resources::operator+=(const Resources& other) {
   vcpus += other.vcpus;
