--- a/src/calls/runner.cpp
+++ b/src/calls/runner.cpp
@@ -4,7 +4,7 @@
 
 net::Task<wire::CallResult> carryOut(net::HttpClient& client, wire::Call call) {
   std::string body = call.body.is_null() ? std::string() : wire::encodeBody(call.body);
-  const net::ClientResult answer =
+  const net::HttpResult answer =
       co_await client.call(call.endpoint, call.method, call.path, std::move(body), call.timeout);
   wire::CallResult result;
   result.sent = answer.sent;
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -37,7 +37,7 @@
 
   // Pools a connection to the endpoint. inUse: sockets the caller has open besides this one.
   void keep(const std::string& endpoint, Connection connection, std::size_t inUse, Time now) {
-    makeRoom(inUse + 1);
+    evictFor(inUse + 1);
     auto& entries = byEndpoint_[endpoint];
     entries.push_back(idle_.insert(idle_.end(), Entry{endpoint, std::move(connection), now}));
     if (entries.size() > maxPerEndpoint_) evict(entries.front());
@@ -45,7 +45,7 @@
 
   // Closes the longest idle connections until inUse plus the pooled ones fit into maxSockets. A fleet of
   // workers would otherwise fill all sockets with idle connections, one to each.
-  void makeRoom(std::size_t inUse) {
+  void evictFor(std::size_t inUse) {
     while (!idle_.empty() && inUse + idle_.size() > maxSockets_) evict(idle_.begin());
   }
 
--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -1,20 +1,33 @@
 #include "net/framed.hpp"
 
-#include <sys/socket.h>
-
 #include <array>
-#include <cerrno>
+#include <string_view>
 
 #include "config/constants.hpp"
 
 namespace reachhoist::net {
 
 namespace {
-constexpr std::size_t kReadChunk = 16 * 1024;   // bytes
-constexpr std::size_t kPrefix = 4;              // bytes of a frame's length, little endian
-constexpr std::size_t kMaxLinks = 32;           // open links; each sibling needs one, restarts leave old ones
-constexpr std::chrono::seconds kLinkIdle{30};   // siblings send a beat every second
-constexpr std::chrono::seconds kWriteLimit{5};  // a link that takes nothing for this long is dialled again
+constexpr std::size_t kReadChunk = 16 * 1024;  // bytes
+constexpr std::size_t kPrefixBytes = 4;        // of a frame's length, little endian
+// Open connections from siblings: each needs one, and a restart may leave an old one behind.
+constexpr std::size_t kMaxConnections = 32;
+constexpr std::chrono::seconds kReceiveTimeout{30};  // siblings send a heartbeat every second
+constexpr std::chrono::seconds kWriteTimeout{5};     // after which the sibling is connected to anew
+
+std::string encodePrefix(std::size_t size) {
+  std::string prefix;
+  for (std::size_t i = 0; i < kPrefixBytes; ++i) prefix.push_back(static_cast<char>(size >> (8 * i) & 255U));
+  return prefix;
+}
+
+// The buffer holds at least the prefix.
+std::size_t decodePrefix(std::string_view buffer) {
+  std::size_t size = 0;
+  for (std::size_t i = 0; i < kPrefixBytes; ++i)
+    size |= std::size_t{static_cast<unsigned char>(buffer[i])} << (8 * i);
+  return size;
+}
 }  // namespace
 
 bool FrameListener::listen(const Address& address, std::string& error) {
@@ -27,16 +40,8 @@
 
 Task<void> FrameListener::acceptLoop() {
   for (;;) {
-    Fd fd = acceptConnection(*listener_);
-    if (!fd) {
-      if (errno == EAGAIN || errno == EWOULDBLOCK) {
-        co_await listener_->readable(Time::max());
-      } else {
-        co_await reactor_.sleepUntil(reactor_.now() + constants::kTick);
-      }
-      continue;
-    }
-    if (open_ >= kMaxLinks) continue;
+    Fd fd = co_await acceptNext(reactor_, *listener_, [] {});
+    if (open_ >= kMaxConnections) continue;
     spawn(receive(std::make_unique<Socket>(reactor_, std::move(fd))));
   }
 }
@@ -45,26 +50,27 @@
   ++open_;
   std::string buffer;
   std::array<char, kReadChunk> chunk;
-  for (bool good = true; good;) {
-    const std::size_t got = co_await socket->read(chunk.data(), chunk.size(), reactor_.now() + kLinkIdle);
+  for (;;) {
+    const std::size_t got =
+        co_await socket->read(chunk.data(), chunk.size(), reactor_.now() + kReceiveTimeout);
     if (got == 0) break;
     buffer.append(chunk.data(), got);
-    while (buffer.size() >= kPrefix) {
-      std::size_t size = 0;
-      for (std::size_t i = 0; i < kPrefix; ++i)
-        size |= std::size_t{static_cast<unsigned char>(buffer[i])} << (8 * i);
-      if (size > constants::kMaxFrameBytes) {
-        good = false;
-        break;
-      }
-      if (buffer.size() < kPrefix + size) break;
-      handler_(buffer.substr(kPrefix, size));
-      buffer.erase(0, kPrefix + size);
-    }
+    if (!takeFrames(buffer)) break;
   }
   --open_;
 }
 
+bool FrameListener::takeFrames(std::string& buffer) {
+  while (buffer.size() >= kPrefixBytes) {
+    const std::size_t size = decodePrefix(buffer);
+    if (size > constants::kMaxFrameBytes) return false;
+    if (buffer.size() < kPrefixBytes + size) break;
+    handler_(buffer.substr(kPrefixBytes, size));
+    buffer.erase(0, kPrefixBytes + size);
+  }
+  return true;
+}
+
 FrameSender::FrameSender(Reactor& reactor, Address address) : reactor_(reactor), address_(address) {
   spawn(run());
 }
@@ -72,30 +78,27 @@
 void FrameSender::send(const std::string& frame) {
   if (frame.size() > constants::kMaxFrameBytes) return;
   if (backlogBytes_ + frame.size() > constants::kMaxPeerBacklog) return;
-  std::string prefixed;
-  prefixed.reserve(kPrefix + frame.size());
-  for (std::size_t i = 0; i < kPrefix; ++i)
-    prefixed.push_back(static_cast<char>(frame.size() >> (8 * i) & 255U));
-  prefixed += frame;
+  std::string prefixed = encodePrefix(frame.size()) + frame;
   backlogBytes_ += prefixed.size();
   backlog_.push_back(std::move(prefixed));
-  if (waiting_) reactor_.post([handle = std::exchange(waiting_, {})] { handle.resume(); });
+  if (waiter_) reactor_.post([waiter = std::exchange(waiter_, {})] { waiter.resume(); });
 }
 
+struct FrameSender::BacklogAwaiter {
+  FrameSender& sender;
+  bool await_ready() const { return !sender.backlog_.empty(); }
+  void await_suspend(std::coroutine_handle<> waiter) { sender.waiter_ = waiter; }
+  void await_resume() const {}
+};
+
 Task<void> FrameSender::run() {
-  struct Await {
-    FrameSender& sender;
-    bool await_ready() const { return !sender.backlog_.empty(); }
-    void await_suspend(std::coroutine_handle<> handle) { sender.waiting_ = handle; }
-    void await_resume() const {}
-  };
   std::unique_ptr<Socket> socket;
   for (;;) {
-    co_await Await{*this};
+    co_await BacklogAwaiter{*this};
     if (!socket) {
       socket = co_await connectTo(reactor_, address_, reactor_.now() + constants::kConnectTimeout);
       if (!socket) {
-        // What waited for a link that can't be made is too old to be of use.
+        // Frames that waited for a failed connection are too old to be of use.
         backlog_.clear();
         backlogBytes_ = 0;
         co_await reactor_.sleepUntil(reactor_.now() + constants::kPeerRetry);
@@ -105,7 +108,8 @@
     const std::string frame = std::move(backlog_.front());
     backlog_.pop_front();
     backlogBytes_ -= frame.size();
-    if (!co_await socket->writeAll(frame.data(), frame.size(), reactor_.now() + kWriteLimit)) socket.reset();
+    if (!co_await socket->writeAll(frame.data(), frame.size(), reactor_.now() + kWriteTimeout))
+      socket.reset();
   }
 }
 
--- a/src/net/framed.hpp
+++ b/src/net/framed.hpp
@@ -1,5 +1,5 @@
-// Length-prefixed frames between controllers. Each side dials the other and only sends on the link it
-// dialled.
+// Length-prefixed frames between controllers. Each side connects to the other, and sends only on the
+// connection that it has opened.
 #pragma once
 
 #include <deque>
@@ -24,28 +24,33 @@
  private:
   Task<void> acceptLoop();
   Task<void> receive(std::unique_ptr<Socket> socket);
+  // Passes the whole frames in the buffer to the handler and removes them; false if one is too large.
+  bool takeFrames(std::string& buffer);
 
   Reactor& reactor_;
   Handler handler_;
   std::unique_ptr<Socket> listener_;
-  std::size_t open_ = 0;
+  std::size_t open_ = 0;  // connections
 };
 
-// Sends length-prefixed frames to one sibling over a connection it dials, and dials again when it breaks.
+// Sends length-prefixed frames to one sibling over a connection that it opens, and opens anew after a
+// failure.
 class FrameSender {
  public:
   FrameSender(Reactor& reactor, Address address);
-  // Dropped when the backlog is full: every exchange has its own time-out.
+  // Queues the frame; drops it if it is too large or the backlog is full, since every exchange between
+  // controllers has its own time-out.
   void send(const std::string& frame);
 
  private:
+  struct BacklogAwaiter;
   Task<void> run();
 
   Reactor& reactor_;
   Address address_;
   std::deque<std::string> backlog_;
   std::size_t backlogBytes_ = 0;
-  std::coroutine_handle<> waiting_;
+  std::coroutine_handle<> waiter_;  // run(), while the backlog is empty
 };
 
 }  // namespace reachhoist::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -12,18 +12,43 @@
 
 namespace {
 constexpr std::size_t kReadChunk = 16 * 1024;  // bytes
-constexpr int kTooLarge = 413;                 // the parser's word for a body over the limit
+constexpr int kContentTooLarge = 413;          // the parser's status for a body over the limit
 
-// A pooled connection on which the other side has sent an end (or anything at all) is of no more use.
+// A pooled connection on which the peer has sent its end, or anything else, can't be reused.
 bool stillOpen(int fd) {
   char byte = 0;
   const ssize_t got = ::recv(fd, &byte, 1, MSG_PEEK);
   return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
+
+// Counts for as long as it lives.
+class CountGuard {
+ public:
+  explicit CountGuard(std::size_t& count) : count_(count) { ++count_; }
+  CountGuard(const CountGuard&) = delete;
+  CountGuard& operator=(const CountGuard&) = delete;
+  ~CountGuard() { --count_; }
+
+ private:
+  std::size_t& count_;
+};
+
+// Feeds the parser until it has a response, has failed, or the connection ends.
+Task<void> readResponse(Socket& socket, HttpParser& parser, Time deadline) {
+  std::array<char, kReadChunk> chunk;
+  while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
+    const std::size_t got = co_await socket.read(chunk.data(), chunk.size(), deadline);
+    if (got == 0) {
+      parser.finish();
+      break;
+    }
+    parser.feed({chunk.data(), got});
+  }
+}
 }  // namespace
 
-HttpClient::HttpClient(Reactor& reactor, std::size_t socketsMost)
-    : reactor_(reactor), pool_(socketsMost, constants::kPoolPerEndpoint, constants::kPoolIdle) {}
+HttpClient::HttpClient(Reactor& reactor, std::size_t maxSockets)
+    : reactor_(reactor), pool_(maxSockets, constants::kPoolPerEndpoint, constants::kPoolIdle) {}
 
 std::unique_ptr<Socket> HttpClient::takePooled(const std::string& endpoint) {
   for (;;) {
@@ -32,22 +57,16 @@
   }
 }
 
-Task<ClientResult> HttpClient::call(std::string endpoint, std::string method, std::string target,
-                                    std::string body, std::chrono::milliseconds timeout) {
-  ClientResult result;
+Task<HttpResult> HttpClient::call(std::string endpoint, std::string method, std::string target,
+                                  std::string body, std::chrono::milliseconds timeout) {
+  HttpResult result;
   const Time deadline = reactor_.now() + timeout;
   Address address;
   if (!Address::parse(endpoint, address)) co_return result;
-  struct Use {
-    std::size_t& count;
-    explicit Use(std::size_t& of) : count(of) { ++count; }
-    Use(const Use&) = delete;
-    ~Use() { --count; }
-  };
   std::unique_ptr<Socket> socket = takePooled(endpoint);
-  const Use use(inUse_);
+  const CountGuard guard(inUse_);
   if (!socket) {
-    pool_.makeRoom(inUse_);
+    pool_.evictFor(inUse_);
     const Time connectBy = std::min(deadline, reactor_.now() + constants::kConnectTimeout);
     socket = co_await connectTo(reactor_, address, connectBy);
   }
@@ -55,18 +74,11 @@
   result.sent = true;
   const std::string text = formatRequest(method, target, endpoint, body);
   if (!co_await socket->writeAll(text.data(), text.size(), deadline)) co_return result;
-  HttpParser parser(HttpParser::Kind::answer, constants::kMaxAnswerBytes);
-  std::array<char, kReadChunk> chunk;
-  while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
-    const std::size_t got = co_await socket->read(chunk.data(), chunk.size(), deadline);
-    if (got == 0) {
-      parser.finish();
-      break;
-    }
-    parser.feed({chunk.data(), got});
-  }
+  HttpParser parser(HttpParser::Kind::response, constants::kMaxAnswerBytes);
+  co_await readResponse(*socket, parser, deadline);
   if (parser.state() != HttpParser::State::complete) {
-    result.tooLarge = parser.state() == HttpParser::State::failed && parser.failureStatus() == kTooLarge;
+    result.tooLarge =
+        parser.state() == HttpParser::State::failed && parser.failureStatus() == kContentTooLarge;
     co_return result;
   }
   result.status = parser.message().status;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -5,15 +5,13 @@
 #include <sys/socket.h>
 
 #include <array>
-#include <cerrno>
 
 #include "config/constants.hpp"
 
 namespace reachhoist::net {
 
 namespace {
-constexpr std::size_t kReadChunk = 8 * 1024;           // bytes; most requests fit in one read
-constexpr std::chrono::milliseconds kAcceptPause{50};  // after running out of descriptors
+constexpr std::size_t kReadChunk = 8 * 1024;  // bytes; most requests fit in one read
 }  // namespace
 
 HttpServer::HttpServer(Reactor& reactor, std::size_t maxConnections, Handler handler)
@@ -29,21 +27,12 @@
 
 Task<void> HttpServer::acceptLoop() {
   for (;;) {
-    Fd fd = acceptConnection(*listener_);
-    if (!fd) {
-      if (errno == EAGAIN || errno == EWOULDBLOCK) {
-        co_await listener_->readable(Time::max());
-      } else if (errno != EINTR && errno != ECONNABORTED) {
-        // Out of descriptors: whoever has been idle longest makes room for the next.
-        closeIdlest();
-        co_await reactor_.sleepUntil(reactor_.now() + kAcceptPause);
-      }
-      continue;
-    }
-    // Full: the connection that has been idle longest makes room, or else the new one is turned away.
+    // Out of descriptors: closing the connection that has been idle longest frees one.
+    Fd fd = co_await acceptNext(reactor_, *listener_, [this] { closeIdlest(); });
+    // At the bound: the idlest connection is closed in favour of the new one, or else the new one is refused.
     if (connections_.size() >= maxConnections_ && !closeIdlest()) continue;
-    const int one = 1;
-    ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+    const int enabled = 1;
+    ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     connections_.push_back(Connection{std::make_unique<Socket>(reactor_, std::move(fd)), true});
     spawn(serve(std::prev(connections_.end())));
   }
@@ -52,70 +41,81 @@
 bool HttpServer::closeIdlest() {
   for (auto& connection : connections_) {
     if (!connection.idle) continue;
-    ::shutdown(connection.socket->fd(), SHUT_RDWR);  // its coroutine sees the end and leaves
+    ::shutdown(connection.socket->fd(), SHUT_RDWR);  // ends the read of its coroutine
     connection.idle = false;
     return true;
   }
   return false;
 }
 
-Task<void> HttpServer::serve(std::list<Connection>::iterator connection) {
-  co_await converse(connection);
-  connections_.erase(connection);
+Task<void> HttpServer::serve(ConnectionEntry entry) {
+  co_await serveRequests(entry);
+  connections_.erase(entry);
 }
 
-Task<void> HttpServer::converse(std::list<Connection>::iterator at) {
-  Connection& connection = *at;
+Task<void> HttpServer::serveRequests(ConnectionEntry entry) {
+  Connection& connection = *entry;
   HttpParser parser(HttpParser::Kind::request, constants::kMaxBodyBytes);
-  std::array<char, kReadChunk> chunk;
   Time deadline = reactor_.now() + constants::kHeadTimeout;
   for (;;) {
-    while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
-      const std::size_t got = co_await connection.socket->read(chunk.data(), chunk.size(), deadline);
-      if (got == 0) co_return;
-      // The clock of a request starts with its first byte, so that a trickle can't hold a connection.
-      if (connection.idle) {
-        connection.idle = false;
-        deadline = reactor_.now() + constants::kHeadTimeout;
-      }
-      parser.feed({chunk.data(), got});
-    }
+    if (!co_await readRequest(connection, parser, deadline)) co_return;
     if (parser.state() == HttpParser::State::failed) {
-      const std::string text = formatAnswer(parser.failureStatus(), {}, std::nullopt, false);
-      co_await connection.socket->writeAll(text.data(), text.size(),
-                                           reactor_.now() + constants::kHeadTimeout);
+      co_await write(connection, formatResponse(parser.failureStatus(), {}, std::nullopt, false));
       co_return;
     }
-    const std::uint64_t number = nextNumber_++;
     const bool keepAlive = parser.message().keepAlive;
-    pending_.emplace(number, Pending{});
-    handler_(number, std::move(parser.message()));
-    struct Await {
-      Pending& pending;
-      bool await_ready() const { return pending.answer.has_value(); }
-      void await_suspend(std::coroutine_handle<> handle) { pending.handle = handle; }
-      void await_resume() const {}
-    };
-    auto& pending = pending_.at(number);
-    co_await Await{pending};
-    const HttpAnswer answer = std::move(*pending.answer);
-    pending_.erase(number);
-    const std::string text = formatAnswer(answer.status, answer.body, answer.retryAfterS, keepAlive);
-    const Time limit = reactor_.now() + constants::kHeadTimeout;
-    if (!co_await connection.socket->writeAll(text.data(), text.size(), limit) || !keepAlive) co_return;
+    const HttpResponse response = co_await handle(std::move(parser.message()));
+    std::string text = formatResponse(response.status, response.body, response.retryAfterS, keepAlive);
+    if (!co_await write(connection, std::move(text)) || !keepAlive) co_return;
     parser.next();
     connection.idle = parser.idle();
     deadline = reactor_.now() + (connection.idle ? constants::kIdleTimeout : constants::kHeadTimeout);
     // Most recently used last.
-    connections_.splice(connections_.end(), connections_, at);
+    connections_.splice(connections_.end(), connections_, entry);
   }
 }
 
-void HttpServer::answer(std::uint64_t number, HttpAnswer answer) {
+Task<bool> HttpServer::readRequest(Connection& connection, HttpParser& parser, Time deadline) {
+  std::array<char, kReadChunk> chunk;
+  while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
+    const std::size_t got = co_await connection.socket->read(chunk.data(), chunk.size(), deadline);
+    if (got == 0) co_return false;
+    // The time-out of a request starts with its first byte, so that a trickle can't hold a connection.
+    if (connection.idle) {
+      connection.idle = false;
+      deadline = reactor_.now() + constants::kHeadTimeout;
+    }
+    parser.feed({chunk.data(), got});
+  }
+  co_return true;
+}
+
+struct HttpServer::ResponseAwaiter {
+  PendingRequest& request;
+  bool await_ready() const { return request.response.has_value(); }
+  void await_suspend(std::coroutine_handle<> waiter) { request.waiter = waiter; }
+  HttpResponse await_resume() const { return std::move(*request.response); }
+};
+
+Task<HttpResponse> HttpServer::handle(HttpMessage request) {
+  const std::uint64_t number = nextNumber_++;
+  PendingRequest& pending = pending_[number];
+  handler_(number, std::move(request));
+  HttpResponse response = co_await ResponseAwaiter{pending};
+  pending_.erase(number);
+  co_return response;
+}
+
+Task<bool> HttpServer::write(Connection& connection, std::string text) {
+  const Time deadline = reactor_.now() + constants::kHeadTimeout;
+  co_return co_await connection.socket->writeAll(text.data(), text.size(), deadline);
+}
+
+void HttpServer::respond(std::uint64_t number, HttpResponse response) {
   const auto found = pending_.find(number);
-  if (found == pending_.end() || found->second.answer) return;
-  found->second.answer = std::move(answer);
-  if (found->second.handle) reactor_.post([handle = found->second.handle] { handle.resume(); });
+  if (found == pending_.end() || found->second.response) return;
+  found->second.response = std::move(response);
+  if (found->second.waiter) reactor_.post([waiter = found->second.waiter] { waiter.resume(); });
 }
 
 }  // namespace reachhoist::net
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -20,6 +20,7 @@
 
 namespace {
 constexpr int kEventsPerTurn = 64;
+constexpr std::chrono::milliseconds kAcceptPause{50};  // after accept failed
 
 sockaddr_in toSockaddr(const Address& address) {
   sockaddr_in out{};
@@ -56,8 +57,7 @@
   return true;
 }
 
-// --- Socket ---------------------------------------------------------------------------------------------
-
+// Awaits an edge on the waiter; false when the deadline came first.
 struct Socket::Wait {
   Socket& socket;
   Waiter& waiter;
@@ -125,8 +125,6 @@
   co_return true;
 }
 
-// --- Reactor --------------------------------------------------------------------------------------------
-
 Reactor::Reactor() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
@@ -152,16 +150,16 @@
 
 std::uint64_t Reactor::at(Time when, std::function<void()> action) {
   const std::uint64_t number = nextTimer_++;
-  timers_.emplace(std::pair{when, number}, std::move(action));
-  timerTimes_.emplace(number, when);
+  timers_.emplace(TimerKey{when, number}, std::move(action));
+  timerDue_.emplace(number, when);
   return number;
 }
 
 void Reactor::cancel(std::uint64_t timer) {
-  const auto found = timerTimes_.find(timer);
-  if (found == timerTimes_.end()) return;
+  const auto found = timerDue_.find(timer);
+  if (found == timerDue_.end()) return;
   timers_.erase({found->second, timer});
-  timerTimes_.erase(found);
+  timerDue_.erase(found);
 }
 
 void Reactor::post(std::function<void()> action) { posted_.push_back(std::move(action)); }
@@ -170,25 +168,37 @@
   for (;;) turn(std::chrono::milliseconds::max());
 }
 
-void Reactor::turn(std::chrono::milliseconds most) {
-  std::array<epoll_event, kEventsPerTurn> events{};
+void Reactor::turn(std::chrono::milliseconds maxWait) {
+  runPosted();
+  runTimers();
+  wakeSockets(maxWait);
+}
+
+void Reactor::runPosted() {
   for (auto& action : std::exchange(posted_, {})) action();
-  Time now = this->now();
-  while (!timers_.empty() && timers_.begin()->first.first <= now) {
+}
+
+void Reactor::runTimers() {
+  const Time now = this->now();
+  while (!timers_.empty() && timers_.begin()->first.due <= now) {
     auto first = timers_.extract(timers_.begin());
-    timerTimes_.erase(first.key().second);
+    timerDue_.erase(first.key().number);
     first.mapped()();
   }
-  int waitMs = most == std::chrono::milliseconds::max() ? -1 : static_cast<int>(most.count());
-  if (!posted_.empty()) {
-    waitMs = 0;
-  } else if (!timers_.empty()) {
-    now = this->now();
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.first - now);
-    const int leftMs = left.count() > 0 ? static_cast<int>(left.count()) : 0;
-    waitMs = waitMs < 0 ? leftMs : std::min(waitMs, leftMs);
-  }
-  const int count = ::epoll_wait(epoll_.get(), events.data(), kEventsPerTurn, waitMs);
+}
+
+int Reactor::waitMs(std::chrono::milliseconds maxWait) const {
+  if (!posted_.empty()) return 0;
+  const int most = maxWait == std::chrono::milliseconds::max() ? -1 : static_cast<int>(maxWait.count());
+  if (timers_.empty()) return most;
+  const auto left = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.due - now());
+  const int leftMs = left.count() > 0 ? static_cast<int>(left.count()) : 0;
+  return most < 0 ? leftMs : std::min(most, leftMs);
+}
+
+void Reactor::wakeSockets(std::chrono::milliseconds maxWait) {
+  std::array<epoll_event, kEventsPerTurn> events{};
+  const int count = ::epoll_wait(epoll_.get(), events.data(), kEventsPerTurn, waitMs(maxWait));
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
     const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
@@ -206,10 +216,10 @@
 
 Fd listenOn(const Address& address, std::string& error) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const int one = 1;
-  const sockaddr_in where = toSockaddr(address);
-  if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one) != 0 ||
-      ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0 ||
+  const int enabled = 1;
+  const sockaddr_in local = toSockaddr(address);
+  if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) != 0 ||
+      ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&local), sizeof local) != 0 ||
       ::listen(fd.get(), constants::kListenBacklog) != 0) {
     error = std::strerror(errno);
     return Fd{};
@@ -223,33 +233,46 @@
   return std::make_unique<Socket>(reactor, std::move(fd));
 }
 
-Fd acceptConnection(const Socket& listener) {
-  return Fd(::accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+Task<Fd> acceptNext(Reactor& reactor, Socket& listener, std::function<void()> onFailure) {
+  for (;;) {
+    Fd fd(::accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (fd) co_return fd;
+    if (errno == EAGAIN || errno == EWOULDBLOCK) {
+      co_await listener.readable(Time::max());
+    } else if (errno != EINTR && errno != ECONNABORTED) {
+      onFailure();
+      co_await reactor.sleepUntil(reactor.now() + kAcceptPause);
+    }
+  }
+}
+
+namespace {
+// Awaits the end of a connection attempt under way; false: it failed, or the deadline came first.
+Task<bool> connectionMade(Socket& socket, Time deadline) {
+  for (;;) {
+    if (!co_await socket.writable(deadline)) co_return false;
+    int error = 0;
+    socklen_t size = sizeof error;
+    if (::getsockopt(socket.fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) co_return false;
+    // The edge set at registration may come before the connection is made.
+    sockaddr_in peer{};
+    socklen_t peerSize = sizeof peer;
+    if (::getpeername(socket.fd(), reinterpret_cast<sockaddr*>(&peer), &peerSize) == 0) co_return true;
+  }
 }
+}  // namespace
 
 Task<std::unique_ptr<Socket>> connectTo(Reactor& reactor, Address address, Time deadline) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) co_return nullptr;
-  const int one = 1;
-  ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  const sockaddr_in where = toSockaddr(address);
-  const int status = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where);
+  const int enabled = 1;
+  ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  const sockaddr_in peer = toSockaddr(address);
+  const int status = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&peer), sizeof peer);
   const bool pending = status != 0 && errno == EINPROGRESS;
   if (status != 0 && !pending) co_return nullptr;
   auto socket = std::make_unique<Socket>(reactor, std::move(fd));
-  if (pending) {
-    for (;;) {
-      if (!co_await socket->writable(deadline)) co_return nullptr;
-      int error = 0;
-      socklen_t size = sizeof error;
-      if (::getsockopt(socket->fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0)
-        co_return nullptr;
-      // The edge set at registration may come before the connection is made.
-      sockaddr_in peer{};
-      socklen_t peerSize = sizeof peer;
-      if (::getpeername(socket->fd(), reinterpret_cast<sockaddr*>(&peer), &peerSize) == 0) break;
-    }
-  }
+  if (pending && !co_await connectionMade(*socket, deadline)) co_return nullptr;
   co_return socket;
 }
 
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -1,4 +1,4 @@
-// The event loop: one epoll set and a queue of timers. Coroutines wait here for sockets and for time.
+// The event loop: an epoll set and a queue of timers, on which coroutines wait.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
 using Clock = std::chrono::steady_clock;
 using Time = Clock::time_point;
 
-// An owned file descriptor.
+// A file descriptor that is closed with its object.
 class Fd {
  public:
   Fd() = default;
@@ -27,6 +27,7 @@
   Fd(const Fd&) = delete;
   Fd& operator=(const Fd&) = delete;
   ~Fd() { reset(); }
+  // Closes the descriptor, if there is one.
   void reset();
   int get() const { return number_; }
   explicit operator bool() const { return number_ >= 0; }
@@ -35,9 +36,11 @@
   int number_ = -1;
 };
 
+// An IPv4 address and a port.
 struct Address {
   std::uint32_t ip = 0;    // network order
   std::uint16_t port = 0;  // host order
+  // Reads "ip:port"; false if the text is not of that form or the port is 0.
   static bool parse(const std::string& text, Address& out);
 };
 
@@ -53,11 +56,12 @@
   Socket& operator=(const Socket&) = delete;
   int fd() const { return fd_.get(); }
 
-  // False when the deadline came first.
+  // Wait for the socket to become readable or writable; false when the deadline came first.
   Task<bool> readable(Time deadline);
   Task<bool> writable(Time deadline);
   // Bytes read; 0: closed by the other side, an error, or the deadline.
   Task<std::size_t> read(char* into, std::size_t most, Time deadline);
+  // Writes all bytes; false: closed by the other side, an error, or the deadline.
   Task<bool> writeAll(const char* from, std::size_t size, Time deadline);
 
  private:
@@ -65,7 +69,7 @@
   struct Waiter {
     std::coroutine_handle<> handle;
     std::uint64_t timer = 0;
-    bool ready = false;  // an edge was seen that nobody has used yet
+    bool ready = false;  // an edge was seen since the last wait
     bool timedOut = false;
   };
   struct Wait;
@@ -77,18 +81,21 @@
   Waiter write_;
 };
 
+// Single-threaded event loop. Sockets register themselves with it and must not outlive it.
 class Reactor {
  public:
   Reactor();
   Time now() const { return Clock::now(); }
-  // Timers fire once; the number serves to cancel.
+  // Runs the action once at the given time; returns the number of the timer, for cancel().
   std::uint64_t at(Time when, std::function<void()> action);
   void cancel(std::uint64_t timer);
-  // Actions to run in the next turn of the loop.
+  // Runs the action in the next turn of the loop.
   void post(std::function<void()> action);
+  // Runs the loop for ever.
   [[noreturn]] void run();
-  // One turn of the loop: what is due, then what comes within so long. For loops that others own.
-  void turn(std::chrono::milliseconds most);
+  // One turn of the loop: runs what is due, and then waits for socket events up to maxWait. For use within
+  // another loop.
+  void turn(std::chrono::milliseconds maxWait);
 
   // Awaitable pause.
   auto sleepUntil(Time when) {
@@ -106,26 +113,38 @@
 
  private:
   friend class Socket;
+  struct TimerKey {
+    Time due;
+    std::uint64_t number;
+    auto operator<=>(const TimerKey&) const = default;
+  };
+
   void add(Socket& socket);
   void remove(Socket& socket);
+  void runPosted();
+  void runTimers();
+  // How long to wait for socket events, as epoll_wait() takes it: -1 for no limit.
+  int waitMs(std::chrono::milliseconds maxWait) const;
+  void wakeSockets(std::chrono::milliseconds maxWait);
 
   Fd epoll_;
-  std::unordered_map<std::uint64_t, Socket*> sockets_;  // by registration number: fds are used again
+  std::unordered_map<std::uint64_t, Socket*> sockets_;  // by registration number: descriptors are reused
   std::unordered_map<const Socket*, std::uint64_t> numbers_;
   std::uint64_t nextSocket_ = 1;
-  std::map<std::pair<Time, std::uint64_t>, std::function<void()>> timers_;
-  std::unordered_map<std::uint64_t, Time> timerTimes_;
+  std::map<TimerKey, std::function<void()>> timers_;
+  std::unordered_map<std::uint64_t, Time> timerDue_;  // by number
   std::uint64_t nextTimer_ = 1;
   std::vector<std::function<void()>> posted_;
 };
 
+// A listening, non-blocking descriptor on the address; empty with error set on failure.
 Fd listenOn(const Address& address, std::string& error);
 // A listening socket on the address, registered with the reactor; null with error set on failure.
 std::unique_ptr<Socket> listenSocket(Reactor& reactor, const Address& address, std::string& error);
-// Accepts one pending connection as a non-blocking, close-on-exec descriptor; an empty Fd with errno set
-// when there is none (EAGAIN) or accept failed.
-Fd acceptConnection(const Socket& listener);
-// Connected socket, or null: refused, failed or too late. None of the request was sent in these cases.
+// Awaits the next connection, as a non-blocking descriptor. When accept fails, as it does when the process is
+// out of descriptors, calls onFailure and tries again after a pause.
+Task<Fd> acceptNext(Reactor& reactor, Socket& listener, std::function<void()> onFailure);
+// A connected socket, or null if the connection was refused, failed or timed out.
 Task<std::unique_ptr<Socket>> connectTo(Reactor& reactor, Address address, Time deadline);
 
 }  // namespace reachhoist::net
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -13,6 +13,7 @@
 
 namespace detail {
 
+// Resumes the awaiter at the end of a task.
 struct FinalAwaiter {
   bool await_ready() const noexcept { return false; }
   template <class Promise>
@@ -23,6 +24,7 @@
   void await_resume() const noexcept {}
 };
 
+// What the promises of all tasks share.
 struct PromiseBase {
   std::coroutine_handle<> continuation;
   std::exception_ptr error;
@@ -31,6 +33,7 @@
   void unhandled_exception() { error = std::current_exception(); }
 };
 
+// The promise of a task with a result.
 template <class T>
 struct Promise : PromiseBase {
   std::optional<T> value;
@@ -53,6 +56,8 @@
 
 }  // namespace detail
 
+// A coroutine with a result of type T. It starts when awaited, and an exception in it reaches its awaiter.
+// May be awaited once; destroying the task destroys the coroutine.
 template <class T = void>
 class [[nodiscard]] Task {
  public:
@@ -91,7 +96,8 @@
   return Task<void>(std::coroutine_handle<Promise<void>>::from_promise(*this));
 }
 
-// Runs by itself and frees itself at its end.
+// A coroutine that nobody awaits: it starts at once and frees itself at its end. An exception in it ends the
+// program.
 struct Detached {
   struct promise_type {
     Detached get_return_object() const noexcept { return {}; }
@@ -103,6 +109,7 @@
 };
 }  // namespace detail
 
+// Starts the task without awaiting it. An exception in it ends the program.
 inline void spawn(Task<void> task) {
   [](Task<void> running) -> detail::Detached { co_await running; }(std::move(task));
 }
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -61,7 +61,7 @@
   Actions actions = controller_.drain();
   for (Reply& reply : actions.replies) {
     std::string body = reply.body.is_null() ? std::string() : wire::encodeBody(reply.body);
-    server_.answer(reply.request, net::HttpAnswer{reply.status, std::move(body), reply.retryAfterS});
+    server_.respond(reply.request, net::HttpResponse{reply.status, std::move(body), reply.retryAfterS});
   }
   for (PeerSend& send : actions.peers) {
     if (const auto found = links_.find(send.to); found != links_.end())
