--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -82,10 +82,11 @@
   state::Transaction transaction;
   transaction.conditions.push_back({shares::kTableKey, revision});
   transaction.writes.push_back({shares::kTableKey, shares::encode(table), std::nullopt});
-  client_.multi(now_, state::Urgency::rest, transaction,
-                [self = shared_from_this(), generation = table.generation](const wire::CallResult& result) {
-                  if (self->state_ == State::writing) self->onWritten(result, generation);
-                });
+  client_.transact(
+      now_, state::Urgency::rest, transaction,
+      [self = shared_from_this(), generation = table.generation](const wire::CallResult& result) {
+        if (self->state_ == State::writing) self->onWritten(result, generation);
+      });
 }
 
 void ShareEdit::onWritten(const wire::CallResult& result, std::uint64_t generation) {
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -1,4 +1,3 @@
-// Instance requests, releases, lists and the catalogue, each sent when due and the rate limit allows.
 #include "cloud/client.hpp"
 
 #include <algorithm>
@@ -6,9 +5,22 @@
 namespace reachhoist::cloud {
 
 namespace {
-constexpr double kShareOfRate = 0.8;  // of the cloud's rate; siblings fetch the catalogue at their start
-constexpr std::chrono::milliseconds kRetry{1000};  // after an outage's or the rate limit's refusal
-constexpr int kRefusalsMost = 2;                   // after a refusal the same request may be sent once more
+constexpr double kRateShare = 0.8;  // of the cloud's rate limit; siblings fetch the catalogue when they start
+constexpr std::chrono::milliseconds kRetryPause{1000};  // after an outage or a refusal by the rate limit
+constexpr int kMaxRefusals =
+    2;  // after one refusal for lack of capacity the same request may be sent once more
+
+constexpr int kBadRequest = 400;
+constexpr int kUnavailable = 503;
+
+std::vector<std::string> decodeHosts(const wire::CallResult& result) {
+  std::vector<std::string> hosts;
+  const Json* list = wire::field(result.body, "hosts");
+  if (list == nullptr || !list->is_array()) return hosts;
+  for (const Json& host : *list)
+    if (host.is_string()) hosts.push_back(host.get<std::string>());
+  return hosts;
+}
 }  // namespace
 
 Client::Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
@@ -17,7 +29,7 @@
       settings_(settings),
       incarnationName_(std::move(incarnationName)),
       handlers_(std::move(handlers)),
-      budget_(settings.cloudRps * kShareOfRate, settings.cloudRps) {}
+      budget_(settings.cloudRps * kRateShare, settings.cloudRps) {}
 
 bool Client::call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done) {
   if (!budget_.affords(now, 1)) return false;
@@ -29,17 +41,14 @@
   call.path = std::move(path);
   call.body = std::move(body);
   call.timeout = constants::kCloudTimeout;
-  calls_.start(std::move(call),
-               [done = std::move(done), alive = std::weak_ptr<int>(alive_)](const auto& result) {
-                 if (alive.lock()) done(result);
-               });
+  calls_.start(std::move(call), guard_.wrap(std::move(done)));
   return true;
 }
 
 void Client::requestInstances(Time now, const PoolKey& pool, std::size_t count) {
   while (count > 0) {
     auto request = std::make_shared<InstanceRequest>();
-    request->name = incarnationName_ + "-" + std::to_string(++counter_);
+    request->name = incarnationName_ + "-" + std::to_string(++requestCount_);
     request->pool = pool;
     request->count = std::min(count, constants::kInstanceRequestMax);
     count -= request->count;
@@ -62,16 +71,16 @@
 
 void Client::tick(Time now) {
   now_ = now;
-  if (!releases_.empty() && !releasing_ && now >= nextRelease_) sendReleases(now);
-  const auto requests = requests_;
+  if (!releases_.empty() && !releaseInFlight_ && now >= nextRelease_) sendReleases(now);
+  const auto requests = requests_;  // a copy: an answer removes its request
   for (const auto& request : requests)
-    if (!request->out && now >= request->notBefore) sendInstanceRequest(now, request);
-  if (!askingCatalog_ && now >= nextCatalog_) sendCatalog(now);
-  if (!listing_ && now >= nextList_) sendList(now);
+    if (!request->inFlight && now >= request->notBefore) sendInstanceRequest(now, request);
+  if (!catalogInFlight_ && now >= nextCatalog_) sendCatalog(now);
+  if (!listInFlight_ && now >= nextList_) sendList(now);
 }
 
 void Client::sendInstanceRequest(Time now, const std::shared_ptr<InstanceRequest>& request) {
-  request->out =
+  request->inFlight =
       call(now, "POST", "/hosts",
            Json{{"hire", request->name},
                 {"rig", request->pool.machineType},
@@ -79,7 +88,7 @@
                 {"loaners", request->pool.spot},
                 {"number", request->count}},
            [this, request](const wire::CallResult& result) { onInstanceResponse(request, result); });
-  request->sent = request->sent || request->out;
+  request->sent = request->sent || request->inFlight;
 }
 
 void Client::dropUnsent(const PoolKey& pool) {
@@ -92,29 +101,23 @@
   if (count > 0) handlers_.provisioned(pool, {}, count);
 }
 
+void Client::finish(const std::shared_ptr<InstanceRequest>& request, const std::vector<std::string>& hosts) {
+  std::erase(requests_, request);
+  const std::size_t refused = request->count - std::min(request->count, hosts.size());
+  handlers_.provisioned(request->pool, hosts, refused);
+  if (refused > 0) dropUnsent(request->pool);
+}
+
 void Client::onInstanceResponse(const std::shared_ptr<InstanceRequest>& request,
                                 const wire::CallResult& result) {
-  request->out = false;
-  const auto finish = [&](const std::vector<std::string>& hosts) {
-    std::erase(requests_, request);
-    const std::size_t refused = request->count - std::min(request->count, hosts.size());
-    handlers_.provisioned(request->pool, hosts, refused);
-    if (refused > 0) dropUnsent(request->pool);
-  };
-  if (result.ok()) {
-    std::vector<std::string> hosts;
-    if (const Json* list = wire::field(result.body, "hosts"); list != nullptr && list->is_array()) {
-      for (const Json& host : *list)
-        if (host.is_string()) hosts.push_back(host.get<std::string>());
-    }
-    return finish(hosts);
-  }
-  // Without an answer the instances may have been provisioned: only the same name requested again tells.
-  if (result.status == 503 && wire::textField(result.body, "error") == "no capacity" &&
-      ++request->refusals >= kRefusalsMost)
-    return finish({});
-  if (result.status == 400) return finish({});
-  request->notBefore = now_ + kRetry;
+  request->inFlight = false;
+  if (result.ok()) return finish(request, decodeHosts(result));
+  const bool noCapacity =
+      result.status == kUnavailable && wire::textField(result.body, "error") == "no capacity";
+  if (noCapacity && ++request->refusals >= kMaxRefusals) return finish(request, {});
+  if (result.status == kBadRequest) return finish(request, {});
+  // Without an answer the instances may have been provisioned: only repeating the request tells.
+  request->notBefore = now_ + kRetryPause;
 }
 
 void Client::sendReleases(Time now) {
@@ -123,14 +126,14 @@
     if (batch.size() == constants::kReleaseRequestMax) break;
     batch.push_back(host);
   }
-  releasing_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
-                    [this, batch](const wire::CallResult& result) { onReleased(batch, result); });
+  releaseInFlight_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
+                          [this, batch](const wire::CallResult& result) { onReleased(batch, result); });
 }
 
 void Client::onReleased(const std::vector<std::string>& batch, const wire::CallResult& result) {
-  releasing_ = false;
+  releaseInFlight_ = false;
   if (!result.ok()) {
-    nextRelease_ = now_ + kRetry;
+    nextRelease_ = now_ + kRetryPause;
     return;
   }
   for (const std::string& host : batch) releases_.erase(host);
@@ -138,23 +141,24 @@
 }
 
 void Client::sendList(Time now) {
-  listing_ = call(now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kListPage),
-                  {}, [this](const wire::CallResult& result) { onListPage(result); });
+  listInFlight_ =
+      call(now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kListPage), {},
+           [this](const wire::CallResult& result) { onListPage(result); });
 }
 
 void Client::onListPage(const wire::CallResult& result) {
-  listing_ = false;
+  listInFlight_ = false;
   const Json* hosts = wire::field(result.body, "hosts");
   if (!result.ok() || hosts == nullptr || !hosts->is_array()) {
-    nextList_ = now_ + kRetry;
+    nextList_ = now_ + kRetryPause;
     listAfter_.clear();
-    listSoFar_.clear();
+    listedSoFar_.clear();
     return;
   }
   for (const Json& entry : *hosts) {
-    if (auto host = wire::decodeInstance(entry)) {
-      listAfter_ = host->ref.text;
-      listSoFar_.push_back(std::move(*host));
+    if (auto instance = wire::decodeInstance(entry)) {
+      listAfter_ = instance->ref.text;
+      listedSoFar_.push_back(std::move(*instance));
     }
   }
   if (wire::flagField(result.body, "more").value_or(false) && !hosts->empty()) {
@@ -163,12 +167,12 @@
   }
   nextList_ = now_ + constants::kListEvery;
   listAfter_.clear();
-  handlers_.listed(std::exchange(listSoFar_, {}));
+  handlers_.listed(std::exchange(listedSoFar_, {}));
 }
 
 void Client::sendCatalog(Time now) {
-  askingCatalog_ = call(now, "GET", "/catalog", {}, [this](const wire::CallResult& result) {
-    askingCatalog_ = false;
+  catalogInFlight_ = call(now, "GET", "/catalog", {}, [this](const wire::CallResult& result) {
+    catalogInFlight_ = false;
     auto catalog = result.ok() ? wire::decodeCatalog(result.body)
                                : wire::Result<std::vector<wire::MachineType>>::failure("no answer");
     nextCatalog_ = now_ + (catalog ? constants::kCatalogEvery : constants::kCatalogRetry);
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -3,11 +3,11 @@
 // retried under its own name until its outcome is known.
 #pragma once
 
-#include <deque>
 #include <memory>
 #include <set>
 
 #include "config/settings.hpp"
+#include "state/callback_guard.hpp"
 #include "state/token_bucket.hpp"
 #include "wire/exchange.hpp"
 
@@ -26,7 +26,7 @@
   std::string str() const { return machineType + "/" + zone + (spot ? "/spot" : "/ordinary"); }
 };
 
-// Owned by one leader; its callbacks run on the caller's thread, and none after the client is destroyed.
+// Used by one leader. Its callbacks run on the caller's thread, and none after the client is destroyed.
 class Client {
  public:
   // What the client reports back.
@@ -43,8 +43,8 @@
     std::function<void(std::vector<wire::MachineType> catalog)> catalog;
   };
 
-  // `incarnationName` is never used again by any incarnation of any controller: instance request names begin
-  // with it.
+  // incarnationName: prefix of the names of all instance requests. No incarnation of any controller may ever
+  // use it again.
   Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
          Handlers handlers);
 
@@ -62,14 +62,17 @@
     std::string name;
     PoolKey pool;
     std::size_t count = 0;
-    int refusals = 0;
+    int refusals = 0;   // for lack of capacity
     bool sent = false;  // at least once: the cloud may know of it
-    Time notBefore{};
-    bool out = false;
+    Time notBefore{};   // of the next try
+    bool inFlight = false;
   };
+  // Sends the call if the rate limit allows it now; false if not.
   bool call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done);
   void sendInstanceRequest(Time now, const std::shared_ptr<InstanceRequest>& request);
-  // The pool has no more capacity: what was to be requested of it next would be refused as well.
+  // Reports the request's outcome and removes it.
+  void finish(const std::shared_ptr<InstanceRequest>& request, const std::vector<std::string>& hosts);
+  // Drops the pool's requests not sent yet: it has no capacity left, so that they would be refused as well.
   void dropUnsent(const PoolKey& pool);
   void onInstanceResponse(const std::shared_ptr<InstanceRequest>& request, const wire::CallResult& result);
   void sendReleases(Time now);
@@ -85,18 +88,18 @@
   Handlers handlers_;
   state::TokenBucket budget_;
   Time now_{};
-  std::uint64_t counter_ = 0;
+  std::uint64_t requestCount_ = 0;
   std::vector<std::shared_ptr<InstanceRequest>> requests_;
   std::set<std::string> releases_;
-  bool releasing_ = false;
+  bool releaseInFlight_ = false;
   Time nextRelease_{};
-  bool listing_ = false;
+  bool listInFlight_ = false;
   Time nextList_{};
   std::string listAfter_;
-  std::vector<wire::InstanceEntry> listSoFar_;
-  bool askingCatalog_ = false;
+  std::vector<wire::InstanceEntry> listedSoFar_;
+  bool catalogInFlight_ = false;
   Time nextCatalog_{};
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  state::CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::cloud
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -1,10 +1,17 @@
 #include "cluster/leadership.hpp"
 
+#include "state/answers.hpp"
+
 namespace reachhoist::cluster {
 
 namespace {
 constexpr const char* kPrefix = "leader";
 constexpr const char* kLeaderKey = "leader";
+
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kTooManyRequests = 429;
+constexpr int kUnavailable = 503;
 }  // namespace
 
 Leadership::Leadership(state::Client& client, const config::Settings& settings, std::uint64_t seed,
@@ -33,14 +40,14 @@
   now_ = now;
   feed_.tick(now);
   if (state_ == State::waiting && now >= nextAttemptAt_) {
-    if (!leader_.empty() && leader_ != settings_.label) {
-      // Somebody was faster while our own try was under way. Its stamps would let the next try take the lead
-      // from it.
+    if (anotherLeads()) {
+      // Another controller has won during our own attempt. The next attempt would be conditioned on its
+      // revisions, and so would depose it.
       to(State::observing);
     } else if (leaseId_ != 0) {
       campaign();
     } else {
-      lease();
+      requestLease();
     }
   }
   if (state_ == State::taking && !acquireInFlight_ && now >= retryAcquireAt_) acquirePartitions();
@@ -48,13 +55,19 @@
     renew();
 }
 
-std::optional<std::pair<state::Condition, state::Write>> Leadership::raiseLayout() const {
+std::optional<ConditionalWrite> Leadership::raiseLayout() const {
   if (layoutRaised() || termRevision_ == 0 || term_ == 0) return std::nullopt;
-  return std::pair{
-      state::Condition{kTermKey, termRevision_},
-      state::Write{kTermKey,
-                   Json{{"term", term_}, {"parts", partitionCount_}, {"layout", constants::kLayoutGangs}},
-                   std::nullopt}};
+  return ConditionalWrite{{kTermKey, termRevision_}, writeTerm(term_, constants::kLayoutGangs)};
+}
+
+bool Leadership::anotherLeads() const { return !leader_.empty() && leader_ != settings_.label; }
+
+state::Write Leadership::writeTerm(std::uint64_t term, std::uint64_t layout) const {
+  return {kTermKey, Json{{"term", term}, {"parts", partitionCount_}, {"layout", layout}}, std::nullopt};
+}
+
+state::Write Leadership::writePartition(PartitionId partition, std::uint64_t term) const {
+  return {partitionKey(partition), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt};
 }
 
 void Leadership::onEntry(const std::string& key, const Json* value, std::uint64_t revision) {
@@ -65,8 +78,8 @@
     termRevision_ = revision;
     const auto term = wire::countField(*value, "term").value_or(0);
     if (state_ != State::leading && state_ != State::taking) term_ = std::max(term_, term);
-    if (const auto parts = wire::countField(*value, "parts"); parts && *parts > 0)
-      partitionCount_ = static_cast<unsigned>(*parts);
+    if (const auto count = wire::countField(*value, "parts"); count && *count > 0)
+      partitionCount_ = static_cast<unsigned>(*count);
     checkLayout(wire::countField(*value, "layout").value_or(1));
   }
 }
@@ -77,7 +90,7 @@
     if (state_ == State::refusing) to(State::observing);
     return;
   }
-  // Records of an earlier layout would be misread, and a task that they place be started twice.
+  // Records of an earlier layout would be misread, and a task that they place might be started twice.
   if (state_ == State::refusing) return;
   if (state_ == State::taking) abandonTaking();
   resign("another layout");
@@ -88,7 +101,7 @@
 void Leadership::onCaughtUp() {
   if (state_ == State::refusing) return;
   if (state_ == State::leading) {
-    // The feed may be older than our own election, so only what is newer counts.
+    // The feed may be older than our own election, so only newer revisions count.
     if (leaderRevision_ > ownRevision_ && leader_ != settings_.label) depose("another controller leads");
     return;
   }
@@ -97,9 +110,9 @@
     return abandonTaking();
   }
   if (state_ == State::observing && (leader_.empty() || leader_ == settings_.label)) {
-    // Our own name there is an earlier life's, which has ended: no need to wait for its lease.
+    // Our own name is left from an earlier run of this controller: no need to wait for its lease to expire.
     pause();
-  } else if (state_ == State::waiting && !leader_.empty() && leader_ != settings_.label) {
+  } else if (state_ == State::waiting && anotherLeads()) {
     to(State::observing);
   }
 }
@@ -112,18 +125,19 @@
   to(State::waiting);
 }
 
-void Leadership::lease() {
+void Leadership::retryElection() {
+  nextAttemptAt_ = now_ + constants::kElectionRetry;
+  to(State::waiting);
+}
+
+void Leadership::requestLease() {
   to(State::leasing);
-  client_.newLease(now_, constants::kLeaderTtl, [this](const wire::CallResult& result) {
+  client_.grantLease(now_, constants::kLeaderTtl, [this](const wire::CallResult& result) {
     if (state_ != State::leasing) return;
-    const auto leaseId = wire::countField(result.body, "permit");
-    if (!result.ok() || !leaseId) {
-      nextAttemptAt_ = now_ + constants::kElectionRetry;
-      to(State::waiting);
-      return;
-    }
+    const auto leaseId = state::grantedLease(result);
+    if (!leaseId) return retryElection();
     leaseId_ = *leaseId;
-    if (!leader_.empty() && leader_ != settings_.label) {
+    if (anotherLeads()) {
       to(State::observing);
     } else {
       campaign();
@@ -138,39 +152,41 @@
   state::Transaction transaction;
   transaction.conditions = {{kLeaderKey, leaderRevision_}, {kTermKey, termRevision_}};
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
-  transaction.writes.push_back(
-      {kTermKey, Json{{"term", term}, {"parts", partitionCount_}, {"layout", layout_}}, std::nullopt});
-  const bool partitionsInElection = partitionCount_ + 2 <= settings_.stateTxnOps;
-  for (PartitionId part = 0; partitionsInElection && part < partitionCount_; ++part)
-    transaction.writes.push_back(
-        {partitionKey(part), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt});
-  client_.multi(now_, state::Urgency::lease, transaction,
-                [this, term, sent, partitionsInElection](const auto& result) {
-                  if (state_ != State::campaigning) return;
-                  if (!result.ok()) {
-                    // The lease may have run out during the wait. Without an answer the feed tells who leads.
-                    if (result.status == 400)
-                      leaseId_ = 0;  // it holds only what every limit allows, so it is the lease
-                    nextAttemptAt_ = now_ + constants::kElectionRetry;
-                    to(State::waiting);
-                    return;
-                  }
-                  ownRevision_ = wire::countField(result.body, "ledger").value_or(0);
-                  term_ = term;
-                  leader_ = settings_.label;
-                  leaderRevision_ = ownRevision_;
-                  termRevision_ = ownRevision_;
-                  confirmedAt_ = sent;
-                  nextRenewAt_ = now_ + constants::kLeaderRenew;
-                  client_.setLeading(true);
-                  partitionRevisions_.assign(partitionsInElection ? partitionCount_ : 0, ownRevision_);
-                  to(State::taking);
-                  acquirePartitions();
-                });
-}
-
-// A deposed owner's writes depend on all parts, so that one taken part already stops it; and each transaction
-// depends on the term's record, so that a late one of an earlier term changes nothing.
+  transaction.writes.push_back(writeTerm(term, layout_));
+  const bool fitsAll = partitionCount_ + transaction.writes.size() <= settings_.stateTxnOps;
+  const PartitionId included = fitsAll ? partitionCount_ : 0;
+  for (PartitionId partition = 0; partition < included; ++partition)
+    transaction.writes.push_back(writePartition(partition, term));
+  client_.transact(now_, state::Urgency::lease, transaction,
+                   [this, term, sent, included](const auto& result) {
+                     if (state_ == State::campaigning) onCampaignAnswer(result, term, sent, included);
+                   });
+}
+
+void Leadership::onCampaignAnswer(const wire::CallResult& result, std::uint64_t term, Time sent,
+                                  PartitionId included) {
+  if (!result.ok()) {
+    // The lease may have expired during the pause. The transaction respects every limit, so a bad request can
+    // only be due to the lease. If no answer came, the feed tells who leads.
+    if (result.status == kBadRequest) leaseId_ = 0;
+    return retryElection();
+  }
+  ownRevision_ = state::appliedRevision(result);
+  term_ = term;
+  leader_ = settings_.label;
+  leaderRevision_ = ownRevision_;
+  termRevision_ = ownRevision_;
+  confirmedAt_ = sent;
+  nextRenewAt_ = now_ + constants::kLeaderRenew;
+  client_.setLeading(true);
+  partitionRevisions_.assign(included, ownRevision_);
+  to(State::taking);
+  acquirePartitions();
+}
+
+// The writes of a deposed leader are conditioned on all partitions, so that one acquired partition already
+// stops them; and each transaction here is conditioned on the term's record, so that a late one of an earlier
+// term changes nothing.
 void Leadership::acquirePartitions() {
   if (partitionRevisions_.size() >= partitionCount_) {
     to(State::leading);
@@ -182,46 +198,51 @@
   const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.stateTxnOps);
   state::Transaction transaction;
   transaction.conditions = {{kTermKey, ownRevision_}};
-  for (PartitionId part = from; part < end; ++part)
-    transaction.writes.push_back(
-        {partitionKey(part), Json{{"owner", settings_.label}, {"term", term_}}, std::nullopt});
-  client_.multi(now_, state::Urgency::lease, transaction,
-                [this, end, term = term_](const wire::CallResult& result) {
-                  acquireInFlight_ = false;
-                  if (state_ != State::taking || term != term_) return;
-                  if (result.ok()) {
-                    partitionRevisions_.resize(end, wire::countField(result.body, "ledger").value_or(0));
-                    return acquirePartitions();
-                  }
-                  retryAcquireAt_ = now_ + constants::kStateBackoff;
-                  // Carried out late it would move the stamps that our own writes depend on: only the next
-                  // term, whose record it can't pass, is safe from that.
-                  if (result.status != 429 && result.status != 503) abandonTaking();
-                });
+  for (PartitionId partition = from; partition < end; ++partition)
+    transaction.writes.push_back(writePartition(partition, term_));
+  client_.transact(now_, state::Urgency::lease, transaction,
+                   [this, end, term = term_](const wire::CallResult& result) {
+                     acquireInFlight_ = false;
+                     if (state_ == State::taking && term == term_) onAcquireAnswer(result, end);
+                   });
+}
+
+void Leadership::onAcquireAnswer(const wire::CallResult& result, PartitionId end) {
+  if (result.ok()) {
+    partitionRevisions_.resize(end, state::appliedRevision(result));
+    return acquirePartitions();
+  }
+  retryAcquireAt_ = now_ + constants::kStateBackoff;
+  // Otherwise the transaction may be applied late, and change the revisions that our own writes are
+  // conditioned on. It can't be applied in the next term, whose record makes its precondition fail.
+  if (result.status != kTooManyRequests && result.status != kUnavailable) abandonTaking();
 }
 
 void Leadership::abandonTaking() {
   client_.setLeading(false);
-  nextAttemptAt_ = now_ + constants::kElectionRetry;
-  to(State::waiting);
+  retryElection();
 }
 
 void Leadership::renew() {
   renewInFlight_ = true;
   const Time sent = now_;
-  client_.touchLease(now_, leaseId_, [this, sent, leaseId = leaseId_](const wire::CallResult& result) {
+  client_.renewLease(now_, leaseId_, [this, sent, leaseId = leaseId_](const wire::CallResult& result) {
     renewInFlight_ = false;
-    if ((state_ != State::leading && state_ != State::taking) || leaseId != leaseId_) return;
-    nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
-    if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
-    if (result.status == 404 && state_ == State::taking) {
-      leaseId_ = 0;
-      return abandonTaking();
-    }
-    if (result.status == 404) depose("the lease ran out");
+    if ((state_ == State::leading || state_ == State::taking) && leaseId == leaseId_) onRenewed(result, sent);
   });
 }
 
+void Leadership::onRenewed(const wire::CallResult& result, Time sent) {
+  nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
+  if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
+  if (result.status != kNotFound) return;
+  if (state_ == State::taking) {
+    leaseId_ = 0;
+    return abandonTaking();
+  }
+  depose("the lease ran out");
+}
+
 void Leadership::depose(const char* why) {
   leaseId_ = 0;
   resign(why);
@@ -229,7 +250,7 @@
 
 void Leadership::stepDown(const char* why) {
   if (state_ != State::leading) return;
-  client_.endLease(now_, leaseId_);
+  client_.revokeLease(now_, leaseId_);
   depose(why);
   nextAttemptAt_ = now_ + constants::kStepDownPause;
 }
@@ -239,8 +260,7 @@
   to(State::observing);
   client_.setLeading(false);
   handlers_.deposed(why);
-  nextAttemptAt_ = now_ + constants::kElectionRetry;
-  to(State::waiting);
+  retryElection();
 }
 
 }  // namespace reachhoist::cluster
--- a/src/cluster/partitions.hpp
+++ b/src/cluster/partitions.hpp
@@ -1,5 +1,5 @@
-// Partitions (shards) of the machines: a machine is hashed to a partition for ever; partitions are owned by
-// the leader, and only the owner changes.
+// Partitions (shards) of the machines: a machine is hashed to one partition for ever, and all partitions are
+// held by the leader.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 using PartitionId = unsigned;
 
 // The partition of a machine by its name: a stable hash (FNV-1a) modulo the partition count (> 0).
-PartitionId partitionOf(std::string_view name, unsigned parts);
+PartitionId partitionOf(std::string_view name, unsigned partitionCount);
 // Stored key of a partition's record {"owner":..,"term":..}.
-std::string partitionKey(PartitionId part);
+std::string partitionKey(PartitionId partition);
 
-// Fencing token of a command: the term in the high bits, and below it a counter by which older commands to
-// one machine are made void.
-std::uint64_t token(std::uint64_t term, std::uint64_t fence);
+// Fencing token of a command: the term in the high bits, and below it a sequence number that invalidates
+// older commands to the same machine.
+std::uint64_t fencingToken(std::uint64_t term, std::uint64_t sequence);
 
 }  // namespace reachhoist::cluster
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -212,7 +212,7 @@
   // It has been commanded under this term, or was sent to the leader a moment ago, and is here all the same:
   // it can't reach the leader, but perhaps we can. Now and then it is sent back, in case the way is open
   // again.
-  const bool left = heartbeat.token >= cluster::token(leadership_.term(), 0) ||
+  const bool left = heartbeat.token >= cluster::fencingToken(leadership_.term(), 0) ||
                     context_.now - route.redirectedAt < constants::kRelayMemory;
   const bool enough =
       route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kRelayFor;
@@ -347,7 +347,7 @@
       // Kept so that a controller that starts during the cloud's outage can still decide.
       state::Transaction transaction;
       transaction.writes.push_back({kCatalogKey, wire::encodeCatalog(*context_.catalog), std::nullopt});
-      context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+      context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
       return;
     }
     context_.state.get(
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -140,8 +140,8 @@
           giveUp(ref);  // no term is known yet
           continue;
         }
-        transaction.conditions.push_back(fence->first);
-        transaction.writes.push_back(fence->second);
+        transaction.conditions.push_back(fence->condition);
+        transaction.writes.push_back(fence->write);
         raised = true;
       }
       queue_.pop_front();
@@ -159,12 +159,12 @@
     }
     if (refs.empty()) return;
     ++flying_;
-    context_.state.multi(context_.now, state::Urgency::accept, transaction,
-                         [this, refs, records](const wire::CallResult& result) {
-                           --flying_;
-                           onSubmissions(refs, records, result);
-                           sendSubmissions();
-                         });
+    context_.state.transact(context_.now, state::Urgency::accept, transaction,
+                            [this, refs, records](const wire::CallResult& result) {
+                              --flying_;
+                              onSubmissions(refs, records, result);
+                              sendSubmissions();
+                            });
   }
 }
 
@@ -247,15 +247,15 @@
   transaction.conditions.push_back({jobs::jobKey(ref), job->revision});
   const Json record = jobs::encodeFinal(*job, jobs::JobPhase::cancelled);
   transaction.writes.push_back({jobs::jobKey(ref), record, std::nullopt});
-  context_.state.multi(context_.now, state::Urgency::accept, transaction,
-                       [this, request, ref, record, catchUp](const wire::CallResult& result) {
-                         if (result.status == 409) return catchUp();
-                         if (!result.ok()) return context_.later(request);
-                         const auto change =
-                             jobs_.apply(ref, record, wire::countField(result.body, "ledger").value_or(0));
-                         context_.reply(request, 200, brief(*jobs_.find(ref)));
-                         applied_(change, ref);
-                       });
+  context_.state.transact(context_.now, state::Urgency::accept, transaction,
+                          [this, request, ref, record, catchUp](const wire::CallResult& result) {
+                            if (result.status == 409) return catchUp();
+                            if (!result.ok()) return context_.later(request);
+                            const auto change =
+                                jobs_.apply(ref, record, wire::countField(result.body, "ledger").value_or(0));
+                            context_.reply(request, 200, brief(*jobs_.find(ref)));
+                            applied_(change, ref);
+                          });
 }
 
 void JobApi::tick() { sendSubmissions(); }
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -277,7 +277,7 @@
   state::Transaction transaction;
   transaction.conditions = partitionConditions();
   transaction.writes.push_back({kSizingStateKey, sizing_.encode(maxValueBytes_), std::nullopt});
-  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
 // --- life ------------------------------------------------------------------------------------------------
--- a/src/service/leader_heartbeats.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -24,7 +24,7 @@
   }
   // A worker that has seen a later term drops our answers, and a 200 would only hold it here until its lease
   // has run out.
-  if (heartbeat.token >= cluster::token(term_ + 1, 0)) return {};
+  if (heartbeat.token >= cluster::fencingToken(term_ + 1, 0)) return {};
   // Gone for good: this is a late copy of what it once sent, and must not bring it back.
   if (releasedUntil_.contains(heartbeat.host.text)) return {};
   Machine* machine = machines_.find(heartbeat.host.text);
@@ -212,7 +212,7 @@
 void Leader::reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   // Under a new term a report proves absence only once the worker has seen our token: before that it may be a
   // late copy of one that an earlier leader got.
-  if (heartbeat.token < cluster::token(term_, 0)) return;
+  if (heartbeat.token < cluster::fencingToken(term_, 0)) return;
   for (Attempt& attempt : machine.attempts) {
     const bool present =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -106,7 +106,7 @@
     // A gang's places are taken in one decision, though they may need several transactions.
     if (!attempt.batch) reserving_.insert(spec.ref.text);
     // Unique for ever: no later life or leader gives the same number. A gang's tasks share theirs.
-    attempt.number = begun ? gang.number : cluster::token(term_, ++attempts_);
+    attempt.number = begun ? gang.number : cluster::fencingToken(term_, ++attempts_);
     if (attempt.gang && !begun) {
       gang.number = attempt.number;
       gang.partialScaleOuts = 0;
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -61,10 +61,10 @@
   transaction.conditions.push_back({shares::kTableKey, revision_});
   transaction.writes.push_back({shares::kTableKey, shares::encode(own_), std::nullopt});
   // Whether it was carried out shows in the watch.
-  context_.state.multi(context_.now, state::Urgency::rest, transaction,
-                       [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult&) {
-                         if (alive.lock()) writing_ = false;
-                       });
+  context_.state.transact(context_.now, state::Urgency::rest, transaction,
+                          [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult&) {
+                            if (alive.lock()) writing_ = false;
+                          });
 }
 
 void SharesInRounds::prepare(placement::World& world, bool mayPreemptForShares) {
@@ -117,7 +117,7 @@
   transaction.conditions = conditions();
   transaction.writes.push_back({shares::kStatusKey, now, std::nullopt});
   written_ = std::move(now);
-  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
 }  // namespace reachhoist::service
--- a/src/service/worker_commands.hpp
+++ b/src/service/worker_commands.hpp
@@ -37,7 +37,7 @@
   WorkerCommands(const WorkerCommands&) = delete;
 
   std::uint64_t fencingTokenOf(const Machine& machine) const {
-    return cluster::token(term_, machine.fencingSequence);
+    return cluster::fencingToken(term_, machine.fencingSequence);
   }
   // The task is told to stop; a second time only with less grace.
   void stop(Machine& machine, Attempt& attempt, double graceS);
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -5,7 +5,7 @@
 namespace reachhoist::state {
 
 namespace {
-constexpr int kPageItems = 200;  // a page is parsed in one go: small pages keep memory and pauses small
+constexpr int kPageEntries = 200;  // a page is parsed at once: small pages keep memory use and pauses small
 }
 
 Json encode(const Transaction& transaction) {
@@ -48,77 +48,73 @@
            constants::kBudgetMargin);
 }
 
-void Client::multi(Time now, Urgency urgency, const Transaction& transaction, Done done) {
+void Client::transact(Time now, Urgency urgency, const Transaction& transaction, Done done) {
   submit(now, urgency,
-         Queued{{},
-                "POST",
-                "/multi",
-                encode(transaction),
-                static_cast<double>(transaction.writes.size()),
-                constants::kStateTimeout,
-                std::move(done)});
+         {.method = "POST",
+          .path = "/multi",
+          .body = encode(transaction),
+          .writes = static_cast<double>(transaction.writes.size()),
+          .done = std::move(done)});
 }
 
 void Client::get(Time now, Urgency urgency, const std::string& key, Done done) {
-  submit(now, urgency, Queued{{}, "GET", "/keys/" + key, {}, 0, constants::kStateTimeout, std::move(done)});
+  submit(now, urgency, {.method = "GET", .path = "/keys/" + key, .done = std::move(done)});
 }
 
 void Client::list(Time now, Urgency urgency, const std::string& prefix, const std::string& after, Done done) {
-  std::string path = "/keys?under=" + prefix + "&limit=" + std::to_string(kPageItems);
+  std::string path = "/keys?under=" + prefix + "&limit=" + std::to_string(kPageEntries);
   if (!after.empty()) path += "&after=" + after;
   submit(now, urgency,
-         Queued{{}, "GET", std::move(path), {}, 0, constants::kStateLoadTimeout, std::move(done)});
+         {.method = "GET",
+          .path = std::move(path),
+          .timeout = constants::kStateLoadTimeout,
+          .done = std::move(done)});
 }
 
-void Client::changes(Time now, Urgency urgency, const std::string& prefix, std::uint64_t after,
-                     std::chrono::milliseconds block, Done done) {
+void Client::watch(Time now, Urgency urgency, const std::string& prefix, std::uint64_t after,
+                   std::chrono::milliseconds block, Done done) {
   std::string path = "/changes?under=" + prefix + "&after=" + std::to_string(after) +
                      "&blockMs=" + std::to_string(block.count());
   const auto timeout = block.count() > 0 ? block + constants::kWatchSlack : constants::kStateTimeout;
-  submit(now, urgency, Queued{{}, "GET", std::move(path), {}, 0, timeout, std::move(done)});
+  submit(now, urgency,
+         {.method = "GET", .path = std::move(path), .timeout = timeout, .done = std::move(done)});
 }
 
-void Client::newLease(Time now, std::chrono::milliseconds ttl, Done done) {
+void Client::grantLease(Time now, std::chrono::milliseconds ttl, Done done) {
   submit(
       now, Urgency::lease,
-      Queued{
-          {}, "POST", "/leases", Json{{"ttlMs", ttl.count()}}, 0, constants::kStateTimeout, std::move(done)});
+      {.method = "POST", .path = "/leases", .body = Json{{"ttlMs", ttl.count()}}, .done = std::move(done)});
 }
 
-void Client::endLease(Time now, std::uint64_t leaseId) {
-  // If it gets lost, the lease runs out by itself.
+void Client::revokeLease(Time now, std::uint64_t leaseId) {
+  // If the call is lost, the lease expires by itself.
   submit(now, Urgency::lease,
-         Queued{{},
-                "DELETE",
-                "/leases/" + std::to_string(leaseId),
-                {},
-                0,
-                constants::kStateTimeout,
-                [](const wire::CallResult&) {}});
+         {.method = "DELETE",
+          .path = "/leases/" + std::to_string(leaseId),
+          .done = [](const wire::CallResult&) {}});
 }
 
-void Client::touchLease(Time now, std::uint64_t leaseId, Done done) {
+void Client::renewLease(Time now, std::uint64_t leaseId, Done done) {
   submit(now, Urgency::lease,
-         Queued{{},
-                "POST",
-                "/leases/" + std::to_string(leaseId) + "/touch",
-                Json::object(),
-                0,
-                constants::kStateTimeout,
-                std::move(done)});
+         {.method = "POST",
+          .path = "/leases/" + std::to_string(leaseId) + "/touch",
+          .body = Json::object(),
+          .done = std::move(done)});
 }
 
-void Client::submit(Time now, Urgency urgency, Queued request) {
+void Client::submit(Time now, Urgency urgency, QueuedRequest request) {
   request.deadline = now + request.timeout;
   queues_[static_cast<std::size_t>(urgency)].push_back(std::move(request));
   pump(now);
 }
 
-bool Client::send(Time now, Urgency urgency, Queued& request) {
+bool Client::withinLimits(Time now, const QueuedRequest& request) {
+  return requests_.affords(now, 1) && (request.writes == 0 || writes_.affords(now, request.writes));
+}
+
+bool Client::send(Time now, Urgency urgency, QueuedRequest& request) {
   const bool mayOverdraw = urgency == Urgency::lease || urgency == Urgency::accept;
-  if (!mayOverdraw &&
-      (!requests_.affords(now, 1) || (request.writes > 0 && !writes_.affords(now, request.writes))))
-    return false;
+  if (!mayOverdraw && !withinLimits(now, request)) return false;
   requests_.take(now, 1);
   if (request.writes > 0) writes_.take(now, request.writes);
   wire::Call call;
@@ -133,17 +129,17 @@
 }
 
 void Client::pump(Time now) {
-  std::vector<Done> late;
+  std::vector<Done> expired;
   for (std::size_t i = 0; i < queues_.size(); ++i) {
     auto& queue = queues_[i];
     while (!queue.empty() && send(now, static_cast<Urgency>(i), queue.front())) queue.pop_front();
     while (!queue.empty() && queue.front().deadline <= now) {
-      late.push_back(std::move(queue.front().done));
+      expired.push_back(std::move(queue.front().done));
       queue.pop_front();
     }
-    if (!queue.empty()) break;  // what is less urgent waits behind it
+    if (!queue.empty()) break;  // less urgent requests wait behind it
   }
-  for (Done& done : late) done(wire::CallResult{});
+  for (Done& done : expired) done(wire::CallResult{});
 }
 
 }  // namespace reachhoist::state
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -1,7 +1,14 @@
 #include "state/feed.hpp"
 
+#include "state/answers.hpp"
+
 namespace reachhoist::state {
 
+namespace {
+constexpr int kCompacted = 410;  // the store no longer keeps the changes asked for
+constexpr int kUnavailable = 503;
+}  // namespace
+
 Feed::Feed(Client& client, std::string prefix, Urgency urgency, wire::Duration confirmGap, Handlers handlers)
     : client_(client),
       prefix_(std::move(prefix)),
@@ -23,7 +30,7 @@
     if (state_ == State::listing && !listInFlight_) list();
     if (state_ == State::following && !watchInFlight_) watch();
   }
-  // Nobody may be waiting: a failing service is tried all the same, and what is known is kept fresh.
+  // Also when nobody waits: a failing store is probed, and the view is kept fresh.
   const auto stale = failing_ ? constants::kStateBackoff : constants::kFreshFor;
   if (!waiting_.empty() || (state_ == State::following && now - lastConfirmAt_ > stale)) sendConfirm();
 }
@@ -31,80 +38,65 @@
 void Feed::list() {
   listInFlight_ = true;
   if (atFirstPage_) listedFrom_ = now_;
-  client_.list(now_, urgency_, prefix_, lastListedKey_,
-               [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-                 if (!alive.lock()) return;
-                 listInFlight_ = false;
-                 onPage(result);
-               });
+  client_.list(now_, urgency_, prefix_, lastListedKey_, guard_.wrap([this](const wire::CallResult& result) {
+    listInFlight_ = false;
+    onPage(result);
+  }));
 }
 
 void Feed::onPage(const wire::CallResult& result) {
-  const Json* pairs = wire::field(result.body, "pairs");
-  const auto revision = wire::countField(result.body, "ledger");
-  if (!result.ok() || pairs == nullptr || !pairs->is_array() || !revision) {
-    retryAt_ = now_ + constants::kStateBackoff;
-    return;
-  }
+  const auto page = decodePage(result);
+  if (!page) return retryLater();
   if (atFirstPage_) {
     // Changes during the listing are replayed from the first page's revision on.
-    revision_ = *revision;
+    revision_ = page->revision;
     if (handlers_.listingBegins) handlers_.listingBegins();
   }
   atFirstPage_ = false;
-  for (const Json& pair : *pairs) {
-    const auto key = wire::textField(pair, "key");
-    const Json* value = wire::field(pair, "value");
-    if (!key || value == nullptr) continue;
-    lastListedKey_ = *key;
-    handlers_.entry(*key, value, wire::countField(pair, "stamp").value_or(0));
+  for (const KeyValue& entry : page->entries) {
+    lastListedKey_ = entry.key;
+    handlers_.entry(entry.key, entry.value, entry.revision);
   }
-  if (wire::flagField(result.body, "more").value_or(false) && !pairs->empty()) return list();
+  if (page->more) return list();
   everListed_ = true;
-  // Only now: what is on the later pages was not known before.
+  // Only now: the entries of the later pages were not known before.
   confirmedAt_ = std::max(confirmedAt_, listedFrom_);
   to(State::following);
   if (handlers_.caughtUp) handlers_.caughtUp();
   if (!watchInFlight_) watch();
 }
 
-bool Feed::applyChanges(const Json& answer) {
-  const Json* events = wire::field(answer, "news");
-  const auto revision = wire::countField(answer, "ledger");
-  if (events == nullptr || !events->is_array() || !revision) return false;
+bool Feed::applyChanges(const wire::CallResult& result) {
+  const auto batch = decodeWatch(result);
+  if (!batch) return false;
   const std::uint64_t known = revision_;
-  revision_ = std::max(revision_, *revision);
-  for (const Json& item : *events) {
-    const std::uint64_t revision = wire::countField(item, "stamp").value_or(0);
-    if (revision <= known) continue;
-    if (const auto written = wire::textField(item, "write")) {
-      if (const Json* value = wire::field(item, "value")) handlers_.entry(*written, value, revision);
-    } else if (const auto deleted = wire::textField(item, "delete")) {
-      handlers_.entry(*deleted, nullptr, revision);
-    }
-  }
+  revision_ = std::max(revision_, batch->revision);
+  for (const KeyValue& event : batch->events)
+    if (event.revision > known) handlers_.entry(event.key, event.value, event.revision);
   if (handlers_.caughtUp) handlers_.caughtUp();
   return true;
 }
 
-// What has changed is no longer known there, or is more than one answer may hold: asked again, it would be
-// the same. Pages of keys are bounded.
-bool Feed::mustList(const wire::CallResult& result) { return result.status == 410 || result.tooLarge; }
+// The changes are no longer kept by the store, or exceed the size limit of an answer: another watch would
+// fail in the same way. Pages of a listing are bounded.
+bool Feed::mustList(const wire::CallResult& result) { return result.status == kCompacted || result.tooLarge; }
+
+void Feed::retryLater() { retryAt_ = now_ + constants::kStateBackoff; }
 
 void Feed::watch() {
   watchInFlight_ = true;
-  client_.changes(now_, urgency_, prefix_, revision_, constants::kWatchBlock,
-                  [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-                    if (!alive.lock()) return;
-                    watchInFlight_ = false;
-                    if (state_ != State::following) return;
-                    if (mustList(result)) return start(now_);
-                    if (!result.ok() || !applyChanges(result.body)) {
-                      retryAt_ = now_ + constants::kStateBackoff;
-                      return;
-                    }
-                    watch();
-                  });
+  client_.watch(now_, urgency_, prefix_, revision_, constants::kWatchBlock,
+                guard_.wrap([this](const wire::CallResult& result) {
+                  watchInFlight_ = false;
+                  onChanges(result);
+                }));
+}
+
+void Feed::onChanges(const wire::CallResult& result) {
+  if (state_ != State::following) return;
+  if (mustList(result)) return start(now_);
+  if (!applyChanges(result)) return retryLater();
+  watch();
 }
 
 void Feed::confirm(Time now, Confirmed done) {
@@ -126,20 +118,21 @@
   nextConfirm_ = now_ + confirmGap_;
   lastConfirmAt_ = now_;
   const Time sent = now_;
-  client_.changes(now_, Urgency::lease, prefix_, revision_, std::chrono::milliseconds(0),
-                  [this, sent, batch = std::exchange(waiting_, {}),
-                   alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-                    if (!alive.lock()) return;
-                    confirmInFlight_ = false;
-                    if (mustList(result)) start(now_);
-                    // A listing begun meanwhile starts from a later revision: what this answer brings would
-                    // be passed over, and its keys may stand on a page that has not been read.
-                    const bool ok = state_ == State::following && result.ok() && applyChanges(result.body);
-                    failing_ = !ok && !result.tooLarge && (result.status == 0 || result.status == 503);
-                    if (failing_) failWaiting();
-                    if (ok) confirmedAt_ = std::max(confirmedAt_, sent);
-                    for (const Confirmed& done : batch) done(ok);
-                  });
+  client_.watch(now_, Urgency::lease, prefix_, revision_, std::chrono::milliseconds(0),
+                guard_.wrap([this, sent, batch = std::exchange(waiting_, {})](
+                                const wire::CallResult& result) { onConfirmed(sent, batch, result); }));
+}
+
+void Feed::onConfirmed(Time sent, const std::vector<Confirmed>& batch, const wire::CallResult& result) {
+  confirmInFlight_ = false;
+  if (mustList(result)) start(now_);
+  // A listing begun meanwhile starts from a later revision: the changes in this answer would be skipped, and
+  // their keys may be on a page that has not been read.
+  const bool ok = state_ == State::following && applyChanges(result);
+  failing_ = !ok && !result.tooLarge && (result.status == 0 || result.status == kUnavailable);
+  if (failing_) failWaiting();
+  if (ok) confirmedAt_ = std::max(confirmedAt_, sent);
+  for (const Confirmed& done : batch) done(ok);
 }
 
 }  // namespace reachhoist::state
--- a/src/state/feed.hpp
+++ b/src/state/feed.hpp
@@ -1,11 +1,11 @@
 // Watch of a key prefix in the key-value store: lists all keys below it once, then follows their changes by
-// revision. A confirming read serves everyone who was waiting when it was sent, so that its batch widens
-// with the load while its rate stays bounded.
+// revision. One confirming read serves all callers that were waiting when it was sent, so that under load its
+// batch grows while its rate stays bounded.
 #pragma once
 
 #include <functional>
-#include <memory>
 
+#include "state/callback_guard.hpp"
 #include "state/client.hpp"
 
 namespace reachhoist::state {
@@ -13,7 +13,7 @@
 // List-then-watch of every key below a prefix, with reads that confirm the view is up to date.
 class Feed {
  public:
-  // stopped: not begun. listing: pages of keys are read. following: changes are watched.
+  // stopped: not begun. listing: all keys are read, page by page. following: changes are watched.
   enum class State { stopped, listing, following };
   // Callbacks; entry is required, the others may be empty.
   struct Handlers {
@@ -37,10 +37,10 @@
   void confirm(Time now, Confirmed done);
   // Whether one listing has been completed.
   bool ready() const { return everListed_; }
-  // The last confirming read got no answer or a refusal that is no matter of rates. Until one gets through
-  // again, who asks is told at once.
+  // Whether the last confirming read failed for another reason than the rate limits. Until one succeeds
+  // again, confirm() fails at once.
   bool failing() const { return failing_; }
-  // Everything that had happened by this time is known.
+  // The view holds every change made before this time.
   Time confirmedAt() const { return confirmedAt_; }
 
  private:
@@ -49,8 +49,12 @@
   void onPage(const wire::CallResult& result);
   void watch();
   void sendConfirm();
+  void onConfirmed(Time sent, const std::vector<Confirmed>& batch, const wire::CallResult& result);
   void failWaiting();
-  bool applyChanges(const Json& answer);
+  void onChanges(const wire::CallResult& result);
+  // Tells the changes in an answer; false if it holds none that can be read.
+  bool applyChanges(const wire::CallResult& result);
+  void retryLater();
   static bool mustList(const wire::CallResult& result);
 
   Client& client_;
@@ -60,21 +64,21 @@
   Handlers handlers_;
   State state_ = State::stopped;
   bool everListed_ = false;
-  std::string lastListedKey_;   // last key of the listing so far
-  std::uint64_t revision_ = 0;  // everything up to here has been taken
+  std::string lastListedKey_;   // in the listing under way
+  std::uint64_t revision_ = 0;  // all changes up to here have been told
   bool atFirstPage_ = true;
   bool watchInFlight_ = false;
-  bool listInFlight_ = false;  // a listing call is out
+  bool listInFlight_ = false;
   Time now_{};
   Time retryAt_{};
-  Time listedFrom_{};  // the present listing was begun then
+  Time listedFrom_{};  // when the listing under way was begun
   Time confirmedAt_{};
   Time nextConfirm_{};
   Time lastConfirmAt_{};
   bool confirmInFlight_ = false;
   bool failing_ = false;
-  std::vector<Confirmed> waiting_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  std::vector<Confirmed> waiting_;  // for the next confirming read
+  CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::state
--- a/src/state/key_watch.hpp
+++ b/src/state/key_watch.hpp
@@ -1,11 +1,11 @@
-// Watches one key of the key-value store: reads it once, then follows its changes by revision. While the
-// store is unreachable the last value stays known and is retried after a back-off.
+// Watch of one key of the key-value store: reads it once, then follows its changes by revision. While the
+// store is unreachable the last value remains valid, and calls are retried after a back-off.
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <string>
 
+#include "state/callback_guard.hpp"
 #include "state/client.hpp"
 
 namespace reachhoist::state {
@@ -15,9 +15,10 @@
  public:
   // stopped: not begun. reading: the key is read as a whole. following: its changes are watched.
   enum class State { stopped, reading, following };
-  // A null value: there is no such key.
+  // Called with each new value and its revision; a null value: there is no such key.
   using Changed = std::function<void(const Json* value, std::uint64_t revision)>;
 
+  // Watches the key; changed is called for each of its values, from start() on.
   KeyWatch(Client& client, std::string key, Changed changed);
   KeyWatch(const KeyWatch&) = delete;
 
@@ -39,12 +40,12 @@
   std::string key_;
   Changed changed_;
   State state_ = State::stopped;
-  std::uint64_t revision_ = 0;      // everything up to here has been taken
+  std::uint64_t revision_ = 0;      // all changes up to here have been told
   std::uint64_t toldRevision_ = 0;  // of the value told last
   bool callInFlight_ = false;
   Time now_{};
   Time retryAt_{};
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::state
--- a/src/state/token_bucket.hpp
+++ b/src/state/token_bucket.hpp
@@ -20,13 +20,14 @@
     burst_ = burst;
     tokens_ = std::min(tokens_, burst_);
   }
-  // Whether a call of this cost may go now. A cost above the burst is let through once the bucket is full,
-  // and leaves it in debt.
+  // Whether a call of this cost may be made now. A cost above the burst is let through once the bucket is
+  // full, and leaves it in debt.
   bool affords(wire::Time now, double cost) {
     refill(now);
     return tokens_ >= std::min(cost, burst_);
   }
-  // Takes the cost whether or not it is there: urgent calls may run into debt, which others then wait out.
+  // Takes the cost even if the bucket does not hold it: urgent calls may put it into debt, which others then
+  // wait out.
   void take(wire::Time now, double cost) {
     refill(now);
     tokens_ = std::max(tokens_ - cost, kMaxDebtBursts * burst_ - cost);
--- a/src/state/transaction.cpp
+++ b/src/state/transaction.cpp
@@ -1,7 +1,17 @@
 #include "state/transaction.hpp"
 
+#include "state/answers.hpp"
+
 namespace reachhoist::state {
 
+namespace {
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kConflict = 409;
+constexpr int kContentTooLarge = 413;
+constexpr const char* kUnknownKey = "?";
+}  // namespace
+
 void Committer::commit(Time now, Urgency urgency, Transaction transaction, Done done) {
   now_ = now;
   transaction_ = std::move(transaction);
@@ -19,7 +29,7 @@
 }
 
 void Committer::abandon() {
-  alive_ = std::make_shared<int>(0);
+  guard_.revoke();
   done_ = nullptr;
   to(State::idle);
 }
@@ -37,9 +47,8 @@
 void Committer::send(Time now) {
   to(State::sending);
   failedKeys_.clear();
-  client_.multi(now, urgency_, transaction_, [this, alive = std::weak_ptr<int>(alive_)](const auto& result) {
-    if (alive.lock()) onAnswer(result);
-  });
+  client_.transact(now, urgency_, transaction_,
+                   guard_.wrap([this](const wire::CallResult& result) { onAnswer(result); }));
 }
 
 void Committer::pause(Time now) {
@@ -55,38 +64,35 @@
 }
 
 void Committer::onAnswer(const wire::CallResult& result) {
-  if (result.ok()) {
-    finish(Outcome{Verdict::applied, wire::countField(result.body, "ledger").value_or(0), {}});
-    return;
-  }
-  if (result.status == 409) {
-    if (const Json* keys = wire::field(result.body, "failed"); keys != nullptr && keys->is_array()) {
-      for (const Json& key : *keys)
-        if (key.is_string()) failedKeys_.push_back(key.get<std::string>());
-    }
-    if (failedKeys_.empty()) failedKeys_.emplace_back("?");
-    // A lost answer may have been a yes, and then its own changes are why the conditions fail now.
-    if (maybeApplied_ && !readBackKey_.empty()) return readBack();
-    return finish(Outcome{Verdict::refused, 0, failedKeys_});
-  }
-  if (result.status == 400 || result.status == 413) return finish(Outcome{Verdict::refused, 0, {"?"}});
+  if (result.ok()) return finish(Outcome{Verdict::applied, appliedRevision(result), {}});
+  if (result.status == kConflict) return onConflict(failedConditions(result));
+  if (result.status == kBadRequest || result.status == kContentTooLarge)
+    return finish(Outcome{Verdict::refused, 0, {kUnknownKey}});
   if (result.unknown()) maybeApplied_ = true;
   pause(now_);
 }
 
+void Committer::onConflict(std::vector<std::string> failedKeys) {
+  failedKeys_ = std::move(failedKeys);
+  if (failedKeys_.empty()) failedKeys_.emplace_back(kUnknownKey);
+  // An earlier try whose answer was lost may have been applied, and then its own writes are why the
+  // preconditions fail now.
+  if (maybeApplied_ && !readBackKey_.empty()) return readBack();
+  finish(Outcome{Verdict::refused, 0, failedKeys_});
+}
+
 void Committer::readBack() {
   to(State::readingBack);
-  client_.get(now_, urgency_, readBackKey_, [this, alive = std::weak_ptr<int>(alive_)](const auto& result) {
-    if (alive.lock()) onReadBack(result);
-  });
+  client_.get(now_, urgency_, readBackKey_,
+              guard_.wrap([this](const wire::CallResult& result) { onReadBack(result); }));
 }
 
 void Committer::onReadBack(const wire::CallResult& result) {
-  if (!result.ok() && result.status != 404) return pause(now_);
+  if (!result.ok() && result.status != kNotFound) return pause(now_);
   const Json* value = result.ok() ? wire::field(result.body, "value") : nullptr;
   if (value != nullptr && wire::textField(*value, "mark") == mark_)
     return finish(Outcome{Verdict::applied, wire::countField(result.body, "stamp").value_or(0), {}});
-  // Conditions that failed once never hold again, so it can't be carried out late either.
+  // Preconditions that failed once never hold again, so the transaction can't be applied late either.
   finish(Outcome{Verdict::refused, 0, failedKeys_});
 }
 
--- a/src/state/transaction.hpp
+++ b/src/state/transaction.hpp
@@ -1,10 +1,10 @@
-// A serial writer to the key-value store: runs one compare-and-swap transaction at a time to a definite
-// verdict, through outages, rate-limit refusals and lost answers.
+// A serial writer to the key-value store: carries one compare-and-swap transaction at a time to a definite
+// verdict, despite outages, rate limits and lost answers.
 #pragma once
 
 #include <functional>
-#include <memory>
 
+#include "state/callback_guard.hpp"
 #include "state/client.hpp"
 
 namespace reachhoist::state {
@@ -47,6 +47,7 @@
   void pause(Time now);
   void finish(const Outcome& outcome);
   void onAnswer(const wire::CallResult& result);
+  void onConflict(std::vector<std::string> failedKeys);
   void readBack();
   void onReadBack(const wire::CallResult& result);
 
@@ -59,12 +60,11 @@
   Done done_;
   std::string mark_;
   std::string readBackKey_;
-  bool maybeApplied_ = false;  // an earlier try may have been carried out
+  bool maybeApplied_ = false;  // an earlier try may have been applied
   std::vector<std::string> failedKeys_;
   Time now_{};
   Time resumeAt_{};
-  // Answers to an abandoned transaction find this pointer gone and are dropped.
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  CallbackGuard guard_;  // revoked when the transaction is abandoned
 };
 
 }  // namespace reachhoist::state
--- a/tests/loopback/loopback_world.cpp
+++ b/tests/loopback/loopback_world.cpp
@@ -177,7 +177,7 @@
 net::Task<void> LoopbackWorld::ask(std::string address, std::string method, std::string target,
                                    std::string body, Answer answer) {
   const net::HttpResult result = co_await client_.call(std::move(address), std::move(method),
-                                                         std::move(target), std::move(body), kCallLimit);
+                                                       std::move(target), std::move(body), kCallLimit);
   const auto decoded = result.body.empty() ? wire::Result<Json>(Json()) : wire::decodeBody(result.body);
   answer(decoded ? result.status : 0, decoded ? *decoded : Json());
 }
