--- a/src/service/catalog_loader.cpp
+++ b/src/service/catalog_loader.cpp
@@ -32,7 +32,7 @@
 void CatalogLoader::storeCopy() {
   state::Transaction transaction;
   transaction.writes.push_back({kCatalogKey, wire::encodeCatalog(*context_.catalog), std::nullopt});
-  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
 void CatalogLoader::loadCopy() {
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -77,7 +77,7 @@
   transaction.conditions.push_back({jobs::jobKey(abort.ref), job->revision});
   const Json record = jobs::encodeFinal(*job, jobs::JobPhase::cancelled);
   transaction.writes.push_back({jobs::jobKey(abort.ref), record, std::nullopt});
-  context_.state.multi(
+  context_.state.transact(
       context_.now, state::Urgency::accept, transaction,
       [this, abort, record](const wire::CallResult& result) { onAbortWritten(abort, record, result); });
 }
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -20,7 +20,7 @@
 
 void AttemptTracker::applyStatus(Machine& machine, Attempt& attempt, const wire::TaskStatus& status) {
   attempt.incarnation = machine.incarnation;
-  switch (status.stage) {
+  switch (status.state) {
     case wire::TaskState::unfamiliar:
       // A state of a later protocol version: whatever it means, the task is on the machine.
       if (!std::exchange(unfamiliarStateLogged_, true))
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -40,7 +40,7 @@
 bool HeartbeatProcessor::mayAnswer(const wire::WorkerHeartbeat& heartbeat) const {
   // A worker that has seen a later term drops this leader's answers, and a 200 would only keep it here until
   // its lease has expired.
-  if (heartbeat.token >= cluster::token(state_.term + 1, 0)) return false;
+  if (heartbeat.token >= cluster::fencingToken(state_.term + 1, 0)) return false;
   // A released host is gone: this is a delayed heartbeat, and must not add the machine again.
   return !inventory_.recentlyReleased(heartbeat.host.text);
 }
@@ -149,7 +149,7 @@
 void HeartbeatProcessor::reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   // Under a new term a heartbeat proves absence only once the worker has seen this leader's token: before
   // that it may be a delayed copy of one that an earlier leader got.
-  if (heartbeat.token < cluster::token(state_.term, 0)) return;
+  if (heartbeat.token < cluster::fencingToken(state_.term, 0)) return;
   for (Attempt& attempt : machine.attempts) {
     const bool present =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -38,9 +38,9 @@
   state_.requestPlacementRound();
 }
 
-void InstanceInventory::onListed(const std::vector<wire::HostEntry>& hosts) {
+void InstanceInventory::onListed(const std::vector<wire::InstanceEntry>& hosts) {
   std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const wire::HostEntry& entry : hosts) {
+  for (const wire::InstanceEntry& entry : hosts) {
     Machine* machine = state_.machines.find(entry.ref.text);
     if (machine == nullptr) {
       if (recentlyReleased(entry.ref.text)) continue;
@@ -50,7 +50,7 @@
   }
 }
 
-Machine& InstanceInventory::addListed(const wire::HostEntry& entry) {
+Machine& InstanceInventory::addListed(const wire::InstanceEntry& entry) {
   Machine& machine = state_.machines.add(entry.ref.text);
   machine.machineType = entry.machineType;
   machine.zone = entry.zone;
@@ -63,18 +63,18 @@
   lifecycle_.applyMachineType(machine);
   // Nothing is placed on it, but under an earlier leader it was up: it will send heartbeats, and its age must
   // not count as a boot time-out.
-  if (entry.stage == wire::HostStage::running) machine.to(MachinePhase::up, context_.now);
+  if (entry.state == wire::InstanceState::running) machine.to(MachinePhase::up, context_.now);
   return machine;
 }
 
-void InstanceInventory::reconcile(Machine& machine, const wire::HostEntry& entry) {
+void InstanceInventory::reconcile(Machine& machine, const wire::InstanceEntry& entry) {
   if (machine.endpoint.empty()) machine.endpoint = entry.endpoint;
-  if (entry.stage == wire::HostStage::failed && machine.phase != MachinePhase::terminating &&
+  if (entry.state == wire::InstanceState::failed && machine.phase != MachinePhase::terminating &&
       machine.phase != MachinePhase::terminated) {
     context_.event(Level::info, "machine_failed", {{"machine", entry.ref.text}});
     attempts_.releaseAll(machine, "machine failed");
     lifecycle_.decommission(machine, "failed");
-  } else if (machine.phase == MachinePhase::booting && entry.stage == wire::HostStage::running) {
+  } else if (machine.phase == MachinePhase::booting && entry.state == wire::InstanceState::running) {
     // Counted from the first list that said it runs: a machine that came up late has only just begun to send
     // heartbeats.
     if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
--- a/src/service/leader/instance_inventory.hpp
+++ b/src/service/leader/instance_inventory.hpp
@@ -24,14 +24,14 @@
   // The cloud has confirmed the release of the hosts: what ran on them is proven gone.
   void onReleased(const std::vector<std::string>& hosts);
   // Reconciles the table with the cloud's instance list.
-  void onListed(const std::vector<wire::HostEntry>& hosts);
+  void onListed(const std::vector<wire::InstanceEntry>& hosts);
   // Whether the host was released so recently that late heartbeats and older lists may still name it.
   bool recentlyReleased(const std::string& host) const { return releasedUntil_.contains(host); }
 
  private:
   // Adds a listed host that no record and no answer of the cloud has named.
-  Machine& addListed(const wire::HostEntry& entry);
-  void reconcile(Machine& machine, const wire::HostEntry& entry);
+  Machine& addListed(const wire::InstanceEntry& entry);
+  void reconcile(Machine& machine, const wire::InstanceEntry& entry);
 
   LeaderState& state_;
   Context& context_;
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -142,7 +142,7 @@
   // The placements of a gang are decided at once, though they may need several transactions.
   if (!attempt.batch) reservingGangs_.insert(job.spec.ref.text);
   // Never given twice, by any leader of any term. The tasks of a gang attempt share their number.
-  attempt.number = gangBegun ? job.gang.number : cluster::token(state_.term, ++attemptCount_);
+  attempt.number = gangBegun ? job.gang.number : cluster::fencingToken(state_.term, ++attemptCount_);
   if (job.isGang() && !gangBegun) gangs_.beginAttempt(job, attempt.number);
   setResourceFields(attempt, job.spec);
   setSchedulingFields(attempt, job);
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -62,7 +62,7 @@
   transaction.conditions = state_.partitionConditions();
   transaction.writes.push_back({shares::kStatusKey, current, std::nullopt});
   writtenStatus_ = std::move(current);
-  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -25,7 +25,7 @@
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
   transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
-  context_.state.multi(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -38,7 +38,7 @@
 
   // The newest fencing token of the machine under this term.
   std::uint64_t fencingTokenOf(const Machine& machine) const {
-    return cluster::token(state_.term, machine.fencingSequence);
+    return cluster::fencingToken(state_.term, machine.fencingSequence);
   }
   // Stops the attempt, with `graceS` seconds for a checkpoint. A second time only with less grace.
   void stop(Machine& machine, Attempt& attempt, double graceS);
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -87,7 +87,7 @@
 
 void Runtime::sendReply(const Reply& reply) {
   std::string body = reply.body.is_null() ? std::string() : wire::encodeBody(reply.body);
-  server_.answer(reply.request, net::HttpAnswer{reply.status, std::move(body), reply.retryAfterS});
+  server_.respond(reply.request, net::HttpResponse{reply.status, std::move(body), reply.retryAfterS});
 }
 
 void Runtime::sendToSibling(const PeerSend& send) {
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -60,10 +60,10 @@
   transaction.conditions.push_back({shares::kTableKey, revision_});
   transaction.writes.push_back({shares::kTableKey, shares::encode(configured_), std::nullopt});
   // The watch shows whether it was applied.
-  context_.state.multi(context_.now, state::Urgency::rest, transaction,
-                       [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult&) {
-                         if (alive.lock()) writing_ = false;
-                       });
+  context_.state.transact(context_.now, state::Urgency::rest, transaction,
+                          [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult&) {
+                            if (alive.lock()) writing_ = false;
+                          });
 }
 
 }  // namespace reachhoist::service
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -54,7 +54,7 @@
       onResult(jobs, result);
       send();
     };
-    context_.state.multi(context_.now, state::Urgency::accept, batch.transaction, std::move(done));
+    context_.state.transact(context_.now, state::Urgency::accept, batch.transaction, std::move(done));
   }
 }
 
@@ -90,8 +90,8 @@
   const auto layout = leadership_.raiseLayout();
   if (!layout || batch.transaction.writes.size() + kWritesWithGang > context_.settings.stateTxnOps)
     return false;
-  batch.transaction.conditions.push_back(layout->first);
-  batch.transaction.writes.push_back(layout->second);
+  batch.transaction.conditions.push_back(layout->condition);
+  batch.transaction.writes.push_back(layout->write);
   batch.raisesLayout = true;
   return true;
 }
