--- a/src/admin/rpc/service.cpp
+++ b/src/admin/rpc/service.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "wire/http_status.hpp"
+
 namespace reachhoist::admin {
 
 namespace {
@@ -81,7 +83,7 @@
 
 grpc::Status SharesService::readTable(StateLoop::Deadline deadline, shares::Table& out) {
   const auto result = loop_.get(shares::kTableKey, deadline);
-  if (result && result->status == 404)
+  if (result && result->status == wire::http_status::kNotFound)
     return {StatusCode::FAILED_PRECONDITION, "table is not stored: shares are off"};
   const wire::Json* value = result ? wire::field(result->body, "value") : nullptr;
   if (!result || !result->ok() || value == nullptr) return unavailable();
@@ -94,7 +96,7 @@
   if (auto status = readTable(deadline, table); !status.ok()) return status;
   out.set_generation(table.generation);
   const auto result = loop_.get(shares::kStatusKey, deadline);
-  if (!result || (!result->ok() && result->status != 404)) return unavailable();
+  if (!result || (!result->ok() && result->status != wire::http_status::kNotFound)) return unavailable();
   if (const wire::Json* value = wire::field(result->body, "value"); value != nullptr) fillGroups(*value, out);
   return grpc::Status::OK;
 }
--- a/src/admin/rpc/state_loop.cpp
+++ b/src/admin/rpc/state_loop.cpp
@@ -100,8 +100,7 @@
     edits_.push_back(edit);
     edit->start(reactor_.now());
   });
-  if (future.wait_until(deadline) != std::future_status::ready)
-    return {EditVerdict::unavailable, 0, {"state service", "gave no definite answer in time"}};
+  if (future.wait_until(deadline) != std::future_status::ready) return unavailableResult();
   return future.get();
 }
 
--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "wire/http_status.hpp"
+
 namespace reachhoist::admin {
 
 namespace {
@@ -22,6 +24,10 @@
 
 }  // namespace
 
+EditResult unavailableResult() {
+  return {EditVerdict::unavailable, 0, {"state service", "gave no definite answer in time"}};
+}
+
 ShareEdit::ShareEdit(state::Client& client, const config::Settings& settings, shares::Change change,
                      Time deadline, Done done)
     : client_(client),
@@ -38,8 +44,7 @@
 void ShareEdit::tick(Time now) {
   now_ = now;
   if (finished()) return;
-  if (now >= deadline_)
-    return finish({EditVerdict::unavailable, 0, {"state service", "gave no definite answer in time"}});
+  if (now >= deadline_) return finish(unavailableResult());
   if (state_ == State::waiting && now >= retryAt_) read();
 }
 
@@ -63,7 +68,7 @@
 }
 
 void ShareEdit::onRead(const wire::CallResult& result) {
-  if (result.status == 404)
+  if (result.status == wire::http_status::kNotFound)
     return finish({EditVerdict::absent, 0, {"table", "is not stored: shares are off"}});
   const auto revision = wire::countField(result.body, "stamp");
   const wire::Json* value = wire::field(result.body, "value");
--- a/src/admin/share_editor.hpp
+++ b/src/admin/share_editor.hpp
@@ -31,6 +31,9 @@
   config::Problem problem;       // empty unless the change failed
 };
 
+// The result of a change that got no definite answer by its deadline.
+EditResult unavailableResult();
+
 // One change in progress. Callbacks of the client hold a reference, so it lives until the last one has run.
 class ShareEdit : public std::enable_shared_from_this<ShareEdit> {
  public:
--- a/src/calls/executor.cpp
+++ b/src/calls/executor.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "wire/http_status.hpp"
+
 namespace reachhoist::calls {
 
 net::Task<wire::CallResult> execute(net::HttpClient& client, wire::Call call) {
@@ -17,7 +19,7 @@
   auto decoded = wire::decodeBody(answer.body);
   if (decoded) {
     result.body = std::move(*decoded);
-  } else if (answer.status == 200) {
+  } else if (answer.status == wire::http_status::kOk) {
     result.status = 0;  // callers rely on the body of a success, so without one the outcome is unknown
   }
   co_return result;
--- a/src/service/context.cpp
+++ b/src/service/context.cpp
@@ -18,8 +18,12 @@
   replies.push_back(Reply{request, status, std::move(body), retryAfterS});
 }
 
+void Context::replyError(std::uint64_t request, int status, const std::string& error) {
+  reply(request, status, Json{{"error", error}});
+}
+
 void Context::later(std::uint64_t request) {
-  reply(request, 503, Json{{"error", "try again"}}, constants::kRetryAfterS);
+  reply(request, http_status::kServiceUnavailable, Json{{"error", "try again"}}, constants::kRetryAfterS);
 }
 
 void Context::sendTo(const std::string& sibling, peer::Payload payload) {
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -14,21 +14,23 @@
 #include "shares/table.hpp"
 #include "state/client.hpp"
 #include "wire/exchange.hpp"
+#include "wire/http_status.hpp"
 
 namespace reachhoist::service {
 
 using wire::Json;
 using wire::Time;
+namespace http_status = wire::http_status;
 
 // Log levels, most important first.
 enum class Level { error, info, debug };
 
 // An HTTP response to one request of a user or worker.
 struct Reply {
-  std::uint64_t request = 0;       // number of the request, as given in Request
-  int status = 503;                // HTTP status
-  Json body;                       // null: no body
-  std::optional<int> retryAfterS;  // Retry-After header in seconds
+  std::uint64_t request = 0;                      // number of the request, as given in Request
+  int status = http_status::kServiceUnavailable;  // HTTP status
+  Json body;                                      // null: no body
+  std::optional<int> retryAfterS;                 // Retry-After header in seconds
 };
 
 // A message to one sibling.
@@ -80,6 +82,8 @@
   void event(Level of, std::string_view name, std::initializer_list<LogField> fields = {}) const;
   // Queues a response to a request.
   void reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS = std::nullopt);
+  // Queues a response whose body says what is wrong.
+  void replyError(std::uint64_t request, int status, const std::string& error);
   // Answers 503 with Retry-After: the request may succeed when it is repeated.
   void later(std::uint64_t request);
   // Queues a message to one sibling.
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -175,9 +175,9 @@
     case Endpoint::abortJob:
       return jobApi_.abort(request.number, route.jobRef);
     case Endpoint::methodNotAllowed:
-      return context_.reply(request.number, 405, Json{{"error", "method not allowed"}});
+      return context_.replyError(request.number, http_status::kMethodNotAllowed, "method not allowed");
     case Endpoint::notFound:
-      return context_.reply(request.number, 404, Json{{"error", "no such path"}});
+      return context_.replyError(request.number, http_status::kNotFound, "no such path");
   }
 }
 
@@ -185,21 +185,21 @@
   const bool healthy =
       jobFeed_.ready() && context_.catalog.has_value() && !siblings_.isIsolated(jobFeed_.confirmedAt());
   if (!healthy) return context_.later(request);
-  context_.reply(request, 200, Json{{"ok", true}});
+  context_.reply(request, http_status::kOk, Json{{"ok", true}});
 }
 
 void Controller::onWorkerHeartbeat(std::uint64_t request, const std::string& body) {
   const auto heartbeat = decodeHeartbeatBody(body);
   if (!heartbeat) {
     context_.event(Level::info, "bad_report", {{"why", heartbeat.reason()}});
-    return context_.reply(request, 400, Json{{"error", heartbeat.reason()}});
+    return context_.replyError(request, http_status::kBadRequest, heartbeat.reason());
   }
   if (!leadership_.leading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
   Leader* leader = activeLeader();
   if (leader == nullptr) return context_.later(request);
   auto response = leader->onHeartbeat(*heartbeat, Leader::Source::heartbeat);
-  if (response.status != 200) return context_.later(request);
-  context_.reply(request, 200, std::move(response.body));
+  if (response.status != http_status::kOk) return context_.later(request);
+  context_.reply(request, http_status::kOk, std::move(response.body));
 }
 
 // --- messages between controllers --------------------------------------------------------------------------
@@ -211,7 +211,7 @@
 }
 
 void Controller::onPeerMessage(const std::string& from, const peer::RelayRequest& request) {
-  peer::RelayResponse response{request.number, 503, {}};
+  peer::RelayResponse response{request.number, http_status::kServiceUnavailable, {}};
   const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
   Leader* leader = activeLeader();
   if (heartbeat && leader != nullptr) {
@@ -220,7 +220,7 @@
       context_.event(Level::debug, "relayed",
                      {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
     response.status = given.status;
-    if (given.status == 200) response.body = wire::encodeBody(given.body);
+    if (given.status == http_status::kOk) response.body = wire::encodeBody(given.body);
   }
   context_.sendTo(from, std::move(response));
 }
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -50,7 +50,7 @@
 void HeartbeatRelay::redirect(std::uint64_t request, WorkerRoute& route) {
   route.redirectedAt = context_.now;
   route.relayedSince = Time{};
-  context_.reply(request, 421, Json{{"foreman", route.leader}});
+  context_.reply(request, http_status::kMisdirectedRequest, Json{{"foreman", route.leader}});
 }
 
 void HeartbeatRelay::onResponse(const peer::RelayResponse& response) {
@@ -59,8 +59,8 @@
   const std::uint64_t request = found->second.request;
   pending_.erase(found);
   const auto body = wire::decodeBody(response.body);
-  if (response.status != 200 || !body) return context_.later(request);
-  context_.reply(request, 200, *body);
+  if (response.status != http_status::kOk || !body) return context_.later(request);
+  context_.reply(request, http_status::kOk, *body);
 }
 
 void HeartbeatRelay::tick() {
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -8,6 +8,8 @@
 
 namespace {
 
+namespace http_status = wire::http_status;
+
 using Catalog = std::vector<wire::MachineType>;
 
 constexpr double kRoundingSlack = 1e-6;  // vCPUs or accelerators, for sums of fractions
@@ -64,9 +66,11 @@
 
 std::optional<Rejection> admit(wire::JobSpec& spec, const Catalog& catalog,
                                const config::Settings& settings) {
-  if (const auto reason = whyNotRunnable(spec, catalog, settings)) return Rejection{422, *reason};
+  if (const auto reason = whyNotRunnable(spec, catalog, settings))
+    return Rejection{http_status::kUnprocessable, *reason};
   dropUnknownMachineTypes(spec, catalog);
-  if (!fitsStoredValue(spec, settings)) return Rejection{422, "too large to be stored"};
+  if (!fitsStoredValue(spec, settings))
+    return Rejection{http_status::kUnprocessable, "too large to be stored"};
   return std::nullopt;
 }
 
--- a/src/service/job_admission.hpp
+++ b/src/service/job_admission.hpp
@@ -7,12 +7,13 @@
 
 #include "config/settings.hpp"
 #include "wire/exchange.hpp"
+#include "wire/http_status.hpp"
 
 namespace reachhoist::service {
 
 // Why a job is refused.
 struct Rejection {
-  int status = 422;  // HTTP status
+  int status = wire::http_status::kUnprocessable;  // HTTP status
   std::string reason;
 };
 
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -22,12 +22,12 @@
   if (!wire::validJobRef(ref)) return replyNoSuchJob(context_, request);
   // A final stage never changes; anything else needs a read that begins after the request came.
   if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->open())
-    return context_.reply(request, 200, jobStatus(*job));
+    return context_.reply(request, http_status::kOk, jobStatus(*job));
   feed_.confirm(context_.now, [this, request, ref](bool confirmed) {
     if (!confirmed) return context_.later(request);
     const jobs::Job* job = jobs_.find(ref);
     if (job == nullptr) return replyNoSuchJob(context_, request);
-    context_.reply(request, 200, jobStatus(*job));
+    context_.reply(request, http_status::kOk, jobStatus(*job));
   });
 }
 
@@ -40,14 +40,15 @@
 void JobApi::submit(std::uint64_t request, const std::string& body) {
   const auto decoded = wire::decodeBody(body);
   if (!decoded || !decoded->is_object())
-    return context_.reply(request, 400, Json{{"error", decoded ? "body is not a map" : decoded.reason()}});
+    return context_.replyError(request, http_status::kBadRequest,
+                               decoded ? "body is not a map" : decoded.reason());
   const std::string ref = wire::textField(*decoded, "ref").value_or("");
   auto spec = wire::decodeJob(*decoded);
-  if (!wire::validJobRef(ref)) return context_.reply(request, 400, Json{{"error", spec.reason()}});
+  if (!wire::validJobRef(ref)) return context_.replyError(request, http_status::kBadRequest, spec.reason());
   // An accepted job stays accepted, even if this body would be rejected now.
   if (jobs_.find(ref) != nullptr) return replyExisting(request, ref);
   if (!feed_.ready() || feed_.failing() || !context_.catalog) return context_.later(request);
-  if (!spec) return reject(request, ref, Rejection{400, spec.reason()});
+  if (!spec) return reject(request, ref, Rejection{http_status::kBadRequest, spec.reason()});
   if (const auto rejection = admit(*spec, *context_.catalog, context_.settings))
     return reject(request, ref, *rejection);
   submissions_.add(request, ref, *spec);
@@ -57,7 +58,7 @@
   feed_.confirm(context_.now, [this, request, ref, rejection](bool confirmed) {
     if (!confirmed) return context_.later(request);
     if (jobs_.find(ref) != nullptr) return replyExisting(request, ref);
-    context_.reply(request, rejection.status, Json{{"error", rejection.reason}});
+    context_.replyError(request, rejection.status, rejection.reason);
   });
 }
 
@@ -70,7 +71,8 @@
 
 void JobApi::tryAbort(const Abort& abort) {
   const jobs::Job* job = jobs_.find(abort.ref);
-  if (job != nullptr && !job->open()) return context_.reply(abort.request, 200, jobSummary(*job));
+  if (job != nullptr && !job->open())
+    return context_.reply(abort.request, http_status::kOk, jobSummary(*job));
   if (abort.attemptsLeft == 0) return context_.later(abort.request);
   if (job == nullptr) return retryAbort(abort);
   state::Transaction transaction;
@@ -91,11 +93,11 @@
 }
 
 void JobApi::onAbortWritten(const Abort& abort, const Json& record, const wire::CallResult& result) {
-  if (result.status == 409) return retryAbort(abort);
+  if (result.status == http_status::kConflict) return retryAbort(abort);
   if (!result.ok()) return context_.later(abort.request);
   const std::uint64_t revision = wire::countField(result.body, "ledger").value_or(0);
   const auto change = jobs_.apply(abort.ref, record, revision);
-  context_.reply(abort.request, 200, jobSummary(*jobs_.find(abort.ref)));
+  context_.reply(abort.request, http_status::kOk, jobSummary(*jobs_.find(abort.ref)));
   onJobChange_(change, abort.ref);
 }
 
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -19,17 +19,17 @@
 }
 
 void replyNoSuchJob(Context& context, std::uint64_t request) {
-  context.reply(request, 404, Json{{"error", "no such job"}});
+  context.replyError(request, http_status::kNotFound, "no such job");
 }
 
 void replyExistingJob(Context& context, state::Feed& feed, jobs::JobTable& jobs, std::uint64_t request,
                       const std::string& ref) {
   if (const jobs::Job* job = jobs.find(ref); job != nullptr && !job->open())
-    return context.reply(request, 200, jobSummary(*job));
+    return context.reply(request, http_status::kOk, jobSummary(*job));
   feed.confirm(context.now, [&context, &jobs, request, ref](bool confirmed) {
     const jobs::Job* job = jobs.find(ref);
     if (!confirmed || job == nullptr) return context.later(request);
-    context.reply(request, 200, jobSummary(*job));
+    context.reply(request, http_status::kOk, jobSummary(*job));
   });
 }
 
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -112,8 +112,8 @@
 
 void SubmissionQueue::onResult(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
   if (result.ok()) return onAccepted(batch, result);
-  if (result.status == 409) return onConflict(batch, result);
-  if (result.status == 429) return onRateLimited(batch);
+  if (result.status == http_status::kConflict) return onConflict(batch, result);
+  if (result.status == http_status::kTooManyRequests) return onRateLimited(batch);
   // The write was refused, or its outcome is unknown. The user repeats the request, and the condition on the
   // job's key makes that idempotent.
   for (const JobRecord& job : batch) giveUp(job.ref);
@@ -127,7 +127,7 @@
     const jobs::Job& job = *jobs_.find(ref);
     if (!submission.empty()) {
       for (const std::uint64_t request : submission.mapped().requests)
-        context_.reply(request, 201, jobSummary(job));
+        context_.reply(request, http_status::kCreated, jobSummary(job));
     }
     onJobChange_(change, ref);
   }
