--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -24,7 +24,7 @@
               [this](const auto& hosts) { inventory_.onReleased(hosts); },
               [this](const auto& hosts) { inventory_.onListed(hosts); },
               [this](std::vector<wire::MachineType> catalog) { context_.catalog = std::move(catalog); }}),
-      lifecycle_(state_, commands_, gangs_, cloud_),
+      lifecycle_(state_, gangs_, cloud_),
       boots_(state_, lifecycle_),
       taskFailures_(state_, lifecycle_),
       attempts_(state_, gangs_, taskFailures_, records_),
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -40,6 +40,7 @@
   void resign(const char* why);
   // Hands the leadership to a sibling that may reach the workers better.
   void stepDown(const char* why);
+  // Whether the leadership has been given up, by resign() or stepDown().
   bool resigned() const { return resigned_; }
 
   // Whether the leadership and the job feed were confirmed recently enough to renew worker leases.
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -12,11 +12,9 @@
 double checkpointGraceS(const Attempt& attempt) { return attempt.saves ? attempt.checkpointS + 1 : 0; }
 }  // namespace
 
-MachineLifecycle::MachineLifecycle(LeaderState& state, WorkerCommands& commands, GangCoordinator& gangs,
-                                   cloud::Client& cloud)
+MachineLifecycle::MachineLifecycle(LeaderState& state, GangCoordinator& gangs, cloud::Client& cloud)
     : state_(state),
       context_(state.context),
-      commands_(commands),
       gangs_(gangs),
       cloud_(cloud),
       committer_(state.context.state, state.uniquePrefix() + "-r") {}
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -8,7 +8,6 @@
 #include "cloud/client.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
-#include "service/leader/worker_commands.hpp"
 #include "state/transaction.hpp"
 
 namespace reachhoist::service {
@@ -22,8 +21,7 @@
 // Drains and decommissions machines; see machines::MachinePhase for the phases.
 class MachineLifecycle {
  public:
-  MachineLifecycle(LeaderState& state, WorkerCommands& commands, GangCoordinator& gangs,
-                   cloud::Client& cloud);
+  MachineLifecycle(LeaderState& state, GangCoordinator& gangs, cloud::Client& cloud);
   MachineLifecycle(const MachineLifecycle&) = delete;
 
   // Fills in the capacity of the machine from the catalogue, once that is known.
@@ -43,7 +41,7 @@
   // Begins the transaction that records the machines to be released, if there are new ones; when it has been
   // applied they are released to the cloud.
   void writeDecommissioning();
-  // The revision of the stored record.
+  // The stored record has been loaded and has this revision.
   void loadedRecord(std::uint64_t revision) { revision_ = revision; }
 
  private:
@@ -51,7 +49,6 @@
 
   LeaderState& state_;
   Context& context_;
-  WorkerCommands& commands_;
   GangCoordinator& gangs_;
   cloud::Client& cloud_;
   // A writer of its own, as urgent as placements: until it is released a machine costs money, and the work
