--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "wire/http_status.hpp"
+
 namespace reachhoist::cloud {
 
 namespace {
@@ -10,9 +12,6 @@
 constexpr int kMaxRefusals =
     2;  // after one refusal for lack of capacity the same request may be sent once more
 
-constexpr int kBadRequest = 400;
-constexpr int kUnavailable = 503;
-
 std::vector<std::string> decodeHosts(const wire::CallResult& result) {
   std::vector<std::string> hosts;
   const Json* list = wire::field(result.body, "hosts");
@@ -113,9 +112,9 @@
   request->inFlight = false;
   if (result.ok()) return finish(request, decodeHosts(result));
   const bool noCapacity =
-      result.status == kUnavailable && wire::textField(result.body, "error") == "no capacity";
+      result.status == http::kServiceUnavailable && wire::textField(result.body, "error") == "no capacity";
   if (noCapacity && ++request->refusals >= kMaxRefusals) return finish(request, {});
-  if (result.status == kBadRequest) return finish(request, {});
+  if (result.status == http::kBadRequest) return finish(request, {});
   // Without an answer the instances may have been provisioned: only repeating the request tells.
   request->notBefore = now_ + kRetryPause;
 }
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -1,6 +1,7 @@
 #include "cluster/leadership.hpp"
 
 #include "state/answers.hpp"
+#include "wire/http_status.hpp"
 
 namespace reachhoist::cluster {
 
@@ -8,10 +9,6 @@
 constexpr const char* kPrefix = "leader";
 constexpr const char* kLeaderKey = "leader";
 
-constexpr int kBadRequest = 400;
-constexpr int kNotFound = 404;
-constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
 }  // namespace
 
 Leadership::Leadership(state::Client& client, const config::Settings& settings, std::uint64_t seed,
@@ -168,7 +165,7 @@
   if (!result.ok()) {
     // The lease may have expired during the pause. The transaction respects every limit, so a bad request can
     // only be due to the lease. If no answer came, the feed tells who leads.
-    if (result.status == kBadRequest) leaseId_ = 0;
+    if (result.status == http::kBadRequest) leaseId_ = 0;
     return retryElection();
   }
   ownRevision_ = state::appliedRevision(result);
@@ -215,7 +212,7 @@
   retryAcquireAt_ = now_ + constants::kStateBackoff;
   // Otherwise the transaction may be applied late, and change the revisions that our own writes are
   // conditioned on. It can't be applied in the next term, whose record makes its precondition fail.
-  if (result.status != kTooManyRequests && result.status != kUnavailable) abandonTaking();
+  if (result.status != http::kTooManyRequests && result.status != http::kServiceUnavailable) abandonTaking();
 }
 
 void Leadership::abandonTaking() {
@@ -235,7 +232,7 @@
 void Leadership::onRenewed(const wire::CallResult& result, Time sent) {
   nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
   if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
-  if (result.status != kNotFound) return;
+  if (result.status != http::kNotFound) return;
   if (state_ == State::taking) {
     leaseId_ = 0;
     return abandonTaking();
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -7,12 +7,12 @@
 #include <cerrno>
 
 #include "config/constants.hpp"
+#include "wire/http_status.hpp"
 
 namespace reachhoist::net {
 
 namespace {
 constexpr std::size_t kReadChunk = 16 * 1024;  // bytes
-constexpr int kContentTooLarge = 413;          // the parser's status for a body over the limit
 
 // A pooled connection on which the peer has sent its end, or anything else, can't be reused.
 bool stillOpen(int fd) {
@@ -78,7 +78,7 @@
   co_await readResponse(*socket, parser, deadline);
   if (parser.state() != HttpParser::State::complete) {
     result.tooLarge =
-        parser.state() == HttpParser::State::failed && parser.failureStatus() == kContentTooLarge;
+        parser.state() == HttpParser::State::failed && parser.failureStatus() == http::kContentTooLarge;
     co_return result;
   }
   result.status = parser.message().status;
--- a/src/state/answers.cpp
+++ b/src/state/answers.cpp
@@ -1,11 +1,12 @@
 #include "state/answers.hpp"
 
+#include "wire/http_status.hpp"
+
 namespace reachhoist::state {
 
 using wire::Json;
 
 namespace {
-constexpr int kNotFound = 404;
 
 std::uint64_t keyRevision(const Json& entry) { return wire::countField(entry, "stamp").value_or(0); }
 
@@ -59,8 +60,8 @@
 
 std::optional<KeyRead> decodeRead(const wire::CallResult& result) {
   const auto revision =
-      result.status == kNotFound ? storeRevision(result) : wire::countField(result.body, "stamp");
-  if ((!result.ok() && result.status != kNotFound) || !revision) return std::nullopt;
+      result.status == http::kNotFound ? storeRevision(result) : wire::countField(result.body, "stamp");
+  if ((!result.ok() && result.status != http::kNotFound) || !revision) return std::nullopt;
   return KeyRead{result.ok() ? wire::field(result.body, "value") : nullptr, *revision};
 }
 
--- a/src/state/key_watch.cpp
+++ b/src/state/key_watch.cpp
@@ -1,13 +1,10 @@
 #include "state/key_watch.hpp"
 
 #include "state/answers.hpp"
+#include "wire/http_status.hpp"
 
 namespace reachhoist::state {
 
-namespace {
-constexpr int kCompacted = 410;  // the store no longer keeps the changes asked for
-}
-
 KeyWatch::KeyWatch(Client& client, std::string key, Changed changed)
     : client_(client), key_(std::move(key)), changed_(std::move(changed)) {}
 
@@ -54,7 +51,7 @@
 
 void KeyWatch::onChanges(const wire::CallResult& result) {
   // The store no longer keeps the changes, or they exceed the size limit: the key is read anew.
-  if (result.status == kCompacted || result.tooLarge) to(State::reading);
+  if (result.status == http::kGone || result.tooLarge) to(State::reading);
   const auto batch = decodeWatch(result);
   if (!batch) return retry();
   for (const KeyValue& event : batch->events)
--- a/src/state/transaction.cpp
+++ b/src/state/transaction.cpp
@@ -1,14 +1,11 @@
 #include "state/transaction.hpp"
 
 #include "state/answers.hpp"
+#include "wire/http_status.hpp"
 
 namespace reachhoist::state {
 
 namespace {
-constexpr int kBadRequest = 400;
-constexpr int kNotFound = 404;
-constexpr int kConflict = 409;
-constexpr int kContentTooLarge = 413;
 constexpr const char* kUnknownKey = "?";
 }  // namespace
 
@@ -65,8 +62,8 @@
 
 void Committer::onAnswer(const wire::CallResult& result) {
   if (result.ok()) return finish(Outcome{Verdict::applied, appliedRevision(result), {}});
-  if (result.status == kConflict) return onConflict(failedConditions(result));
-  if (result.status == kBadRequest || result.status == kContentTooLarge)
+  if (result.status == http::kConflict) return onConflict(failedConditions(result));
+  if (result.status == http::kBadRequest || result.status == http::kContentTooLarge)
     return finish(Outcome{Verdict::refused, 0, {kUnknownKey}});
   if (result.unknown()) maybeApplied_ = true;
   pause(now_);
@@ -88,7 +85,7 @@
 }
 
 void Committer::onReadBack(const wire::CallResult& result) {
-  if (!result.ok() && result.status != kNotFound) return pause(now_);
+  if (!result.ok() && result.status != http::kNotFound) return pause(now_);
   const Json* value = result.ok() ? wire::field(result.body, "value") : nullptr;
   if (value != nullptr && wire::textField(*value, "mark") == mark_)
     return finish(Outcome{Verdict::applied, wire::countField(result.body, "stamp").value_or(0), {}});
