--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -68,7 +68,7 @@
 }
 
 void ShareEdit::onRead(const wire::CallResult& result) {
-  if (result.status == wire::http_status::kNotFound)
+  if (result.status == http::kNotFound)
     return finish({EditVerdict::absent, 0, {"table", "is not stored: shares are off"}});
   const auto revision = wire::countField(result.body, "stamp");
   const wire::Json* value = wire::field(result.body, "value");
--- a/src/service/context.cpp
+++ b/src/service/context.cpp
@@ -23,7 +23,7 @@
 }
 
 void Context::later(std::uint64_t request) {
-  reply(request, http_status::kServiceUnavailable, Json{{"error", "try again"}}, constants::kRetryAfterS);
+  reply(request, http::kServiceUnavailable, Json{{"error", "try again"}}, constants::kRetryAfterS);
 }
 
 void Context::sendTo(const std::string& sibling, peer::Payload payload) {
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -20,7 +20,7 @@
 
 using wire::Json;
 using wire::Time;
-namespace http_status = wire::http_status;
+
 
 // Log levels, most important first.
 enum class Level { error, info, debug };
@@ -28,7 +28,7 @@
 // An HTTP response to one request of a user or worker.
 struct Reply {
   std::uint64_t request = 0;                      // number of the request, as given in Request
-  int status = http_status::kServiceUnavailable;  // HTTP status
+  int status = http::kServiceUnavailable;  // HTTP status
   Json body;                                      // null: no body
   std::optional<int> retryAfterS;                 // Retry-After header in seconds
 };
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-namespace http_status = wire::http_status;
+
 
 using Catalog = std::vector<wire::MachineType>;
 
@@ -67,10 +67,10 @@
 std::optional<Rejection> admit(wire::JobSpec& spec, const Catalog& catalog,
                                const config::Settings& settings) {
   if (const auto reason = whyNotRunnable(spec, catalog, settings))
-    return Rejection{http_status::kUnprocessable, *reason};
+    return Rejection{http::kUnprocessableContent, *reason};
   dropUnknownMachineTypes(spec, catalog);
   if (!fitsStoredValue(spec, settings))
-    return Rejection{http_status::kUnprocessable, "too large to be stored"};
+    return Rejection{http::kUnprocessableContent, "too large to be stored"};
   return std::nullopt;
 }
 
--- a/src/service/job_admission.hpp
+++ b/src/service/job_admission.hpp
@@ -13,7 +13,7 @@
 
 // Why a job is refused.
 struct Rejection {
-  int status = wire::http_status::kUnprocessable;  // HTTP status
+  int status = http::kUnprocessableContent;  // HTTP status
   std::string reason;
 };
 
