--- a/tests/property/fair_share_properties.cpp
+++ b/tests/property/fair_share_properties.cpp
@@ -91,8 +91,8 @@
   return true;
 }
 
-// Who gets less than it asks for is stopped by a resource that is used up and of which nobody who uses it
-// has more for its weight, its fixed part aside.
+// A group that gets less than its demand is limited by a resource that is used up, and no group that uses
+// this resource has more of it for its weight, apart from its fixed part.
 bool isMaxMin(const Allocator& allocate, const std::vector<GroupLoad>& groups) {
   const auto shares = allocate(kCapacity, groups);
   const auto blocks = [&](std::size_t group, int resource) {
@@ -164,7 +164,7 @@
   for (std::size_t i = 0; i < groups.size(); ++i) RC_ASSERT(again[i].entitled <= shares[i].entitled + kSlack);
 }
 
-// A broken allocator must not pass: each of these has one fault.
+// Allocators with one fault each, which must not pass.
 std::vector<GroupShare> forgetsCapacity(const Resources& capacity, const std::vector<GroupLoad>& groups) {
   auto shares = allocateFairShares(capacity, groups);
   for (GroupShare& share : shares) share.entitled = share.demand;
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -1,4 +1,4 @@
-// Runs the scenarios: one small text file each (tests/scenarios/README.md says how they are written).
+// Plays each scenario file as a test of its own; tests/scenarios/README.md describes their language.
 #include "scenario/scenario.hpp"
 
 #include <gtest/gtest.h>
