--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -137,7 +137,10 @@
     0.4;                                      // an empty machine with the image beats a fuller one without it
 inline constexpr double kEmptyArrayS = 3.0;   // filling machines up leaves others to be returned
 inline constexpr double kSharedFetchS = 0.5;  // share of a fetch that joining one under way costs
-inline constexpr double kGangLossS = 60.0;    // of stopping a gang for the sake of one task's room
+inline constexpr double kPullGbPerSLeast =
+    0.01;  // GB/s; a machine type without a pull rate counts as this slow
+inline constexpr double kCheckpointGraceMarginS = 1.0;  // s; beyond the checkpoint's time, for a stop's grace
+inline constexpr double kGangLossS = 60.0;              // of stopping a gang for the sake of one task's room
 inline constexpr double kUnreachableGangS =
     300.0;  // the same where a machine can't be told: nothing is saved
 
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -17,7 +17,7 @@
 }
 
 bool acceptsWork(const Machine& machine) {
-  return machine.phase == MachinePhase::up && machine.tokenAcknowledged && !machine.spotNoticeAt;
+  return machine.phase == MachinePhase::up && machine.contact.tokenAcknowledged && !machine.spotNoticeAt;
 }
 
 std::vector<PoolOffer> offeredPools(const std::vector<wire::MachineType>& catalog) {
@@ -57,7 +57,8 @@
     if (machine->phase == MachinePhase::booting) {
       if (!isStraggler(world, cohorts, *machine))
         out.push_back(PendingInstance{poolOf(*machine), machine->total});
-    } else if (machine->phase == MachinePhase::up && !machine->tokenAcknowledged && !machine->spotNoticeAt) {
+    } else if (machine->phase == MachinePhase::up && !machine->contact.tokenAcknowledged &&
+               !machine->spotNoticeAt) {
       out.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
     }
   }
@@ -89,7 +90,7 @@
 }
 
 bool isPartitioned(const FleetWorld& world, const Machine& machine) {
-  return machine.unreachable && world.cut.contains(machine.zone);
+  return machine.contact.unreachable && world.cut.contains(machine.zone);
 }
 
 bool inScaleOutBackoff(const FleetWorld& world, const placement::UnplacedDemand& unmet) {
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -29,7 +29,7 @@
 void addMachine(const Machine& machine, OnDemandCapacity& capacity) {
   double held = 0;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.holdsCapacity() && holdsReserve(attempt)) held += attempt.each.vcpus;
+    if (attempt.holdsCapacity() && holdsReserve(attempt)) held += attempt.resources.vcpus;
   const double free = std::max(0.0, machine.total.vcpus - held);
   capacity.used += held;
   capacity.free += free;
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -14,13 +14,14 @@
 double productionCpus(const Machine& machine) {
   double cpus = 0;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.holdsCapacity() && attempt.priority == wire::Priority::prod) cpus += attempt.each.vcpus;
+    if (attempt.holdsCapacity() && attempt.priority == wire::Priority::prod) cpus += attempt.resources.vcpus;
   return cpus;
 }
 
 // Whether the machine has been empty for longer than the operators' idle limit.
 bool idleTooLong(const FleetWorld& world, const Machine& machine) {
-  if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) return false;
+  if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.transactionInFlight)
+    return false;
   return world.now - machine.idleSince >= wire::seconds(world.settings.operators.idleReturnS);
 }
 
@@ -49,7 +50,8 @@
 // Whether another machine of the pool has the attempt's image and the free capacity for it.
 bool fitsElsewhere(const machines::Attempt& attempt, const Machine& machine, const ConsolidationPool& pool) {
   return std::any_of(pool.up.begin(), pool.up.end(), [&](const Machine* other) {
-    return other != &machine && other->has(attempt.image) && attempt.each.fitsIn(other->freeCapacity());
+    return other != &machine && other->hasImage(attempt.image) &&
+           attempt.resources.fitsIn(other->freeCapacity());
   });
 }
 
@@ -57,11 +59,12 @@
 // end.
 bool isMovable(const FleetWorld& world, const Machine& machine, const ConsolidationPool& pool) {
   // An empty one is for the idle scale-in.
-  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kConsolidateMinAge)
+  if (machine.empty() || machine.transactionInFlight ||
+      world.now - machine.upSince < constants::kConsolidateMinAge)
     return false;
   for (const machines::Attempt& attempt : machine.attempts) {
     if (attempt.phase == AttemptPhase::ended) continue;
-    if (attempt.phase != AttemptPhase::running || attempt.stopWanted) return false;
+    if (attempt.phase != AttemptPhase::running || attempt.stopRequested) return false;
     if (!attempt.isService) continue;
     if (world.now - attempt.runningSince < constants::kConsolidateMinAge) return false;
     if (!fitsElsewhere(attempt, machine, pool)) return false;
--- a/src/fleet/unmet_work.cpp
+++ b/src/fleet/unmet_work.cpp
@@ -32,8 +32,8 @@
   // Capacity that frees up by itself comes in pieces.
   if (job.isGang()) return true;
   if (job.spec.dueS) {
-    const double slackS =
-        static_cast<double>(job.dueMs() - world.wallMs) / 1000.0 - job.spec.expectS - kBootReserve * bootS;
+    const double slackS = static_cast<double>(job.deadlineMs() - world.wallMs) / 1000.0 - job.spec.expectS -
+                          kBootReserve * bootS;
     if (slackS < kWaitForFreedCapacityS) return true;
   }
   return wire::toSeconds(world.now - job.waitingSince) >= kWaitForFreedCapacityS;
--- a/src/jobs/failures.cpp
+++ b/src/jobs/failures.cpp
@@ -1,3 +1,4 @@
+// Failure attribution; see failures.hpp.
 #include "jobs/failures.hpp"
 
 #include <algorithm>
@@ -6,20 +7,20 @@
 
 namespace reachhoist::jobs {
 
-void FailureAttribution::note(const std::string& host, Duration ran) {
-  // A job that fails everywhere must not remember every machine of a large fleet.
+void FailureAttribution::recordFailure(const std::string& host, Duration ran) {
+  // Bounded: a job that fails everywhere must not remember every machine of a large fleet.
   if (hosts_.size() < constants::kFailureHostsMost) hosts_.insert(host);
   longestRun_ = std::max(longestRun_, ran);
 }
 
-bool FailureAttribution::widespread() const { return hosts_.size() >= constants::kWrongJobMachines; }
+bool FailureAttribution::isWidespread() const { return hosts_.size() >= constants::kWrongJobMachines; }
 
 void FailureAttribution::attributeToJob(Time now) {
-  // The tasks that were started together fail together: they are one trial.
-  if (now < heldUntil_) return;
-  const auto pause = constants::kJobErrorBackoff * (1 << std::min(trials_, constants::kJobErrorDoublings));
-  heldUntil_ = now + std::min<Duration>(pause, constants::kJobErrorBackoffMost);
-  ++trials_;
+  // Tasks that were started together fail together: they count as one retry.
+  if (now < backoffUntil_) return;
+  const auto backoff = constants::kJobErrorBackoff * (1 << std::min(retries_, constants::kJobErrorDoublings));
+  backoffUntil_ = now + std::min<Duration>(backoff, constants::kJobErrorBackoffMost);
+  ++retries_;
 }
 
 void FailureAttribution::reset() { *this = FailureAttribution{}; }
--- a/src/jobs/failures.hpp
+++ b/src/jobs/failures.hpp
@@ -1,5 +1,5 @@
 // Failure attribution for the tasks of one job: whether failed task attempts point at the machines they ran
-// on or at the job itself, and the retry backoff of a job that is held to be at fault.
+// on or at the job itself, and the retry backoff of a job that is at fault.
 #pragma once
 
 #include <set>
@@ -9,34 +9,37 @@
 
 namespace reachhoist::jobs {
 
-// The failures of one job's task attempts since the last success. Not thread-safe; owned by the job.
+// The failures of one job's task attempts since the last success. Not thread-safe; a member of its job.
 class FailureAttribution {
  public:
   using Time = wire::Time;
   using Duration = wire::Duration;
 
   // Records that a task attempt failed on the host after it had run for `ran`.
-  void note(const std::string& host, Duration ran);
-  // Failed on so many machines that, unless it does well somewhere, the job is at fault.
-  bool widespread() const;
+  void recordFailure(const std::string& host, Duration ran);
+  // Whether tasks failed on so many machines that the job is at fault unless it succeeds elsewhere.
+  bool isWidespread() const;
   // Attributes the failures to the job: its next retry waits, with exponential backoff up to a limit.
   void attributeToJob(Time now);
   // Forgets all failures: some task succeeded where others failed.
   void reset();
 
-  bool jobAtFault() const { return trials_ > 0; }
+  // Whether the failures are attributed to the job.
+  bool jobAtFault() const { return retries_ > 0; }
+  // Whether a task of the job failed on the host.
   bool failedOn(const std::string& host) const { return hosts_.contains(host); }
-  std::size_t machines() const { return hosts_.size(); }
-  // The longest that a task ran before it failed: one that has run for longer elsewhere does well.
+  // Distinct machines that tasks failed on, up to `kFailureHostsMost`.
+  std::size_t failedMachineCount() const { return hosts_.size(); }
+  // The longest run time of a failed attempt. An attempt that has run for longer counts as a success.
   Duration longestRun() const { return longestRun_; }
-  // No task may be started before.
-  Time backoffUntil() const { return heldUntil_; }
+  // No task of the job may be started before this time.
+  Time backoffUntil() const { return backoffUntil_; }
 
  private:
   std::set<std::string> hosts_;
   Duration longestRun_{};
-  Time heldUntil_{};
-  int trials_ = 0;  // since the job was first held to be at fault
+  Time backoffUntil_{};
+  int retries_ = 0;  // since the failures were first attributed to the job
 };
 
 }  // namespace reachhoist::jobs
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -1,12 +1,21 @@
+// Jobs: their records, and the bookkeeping of their tasks; see jobs.hpp.
 #include "jobs/jobs.hpp"
 
 #include <algorithm>
+#include <array>
 #include <limits>
 
 namespace reachhoist::jobs {
 
 namespace {
 constexpr char kHex[] = "0123456789abcdef";
+constexpr std::uint32_t kTasksPerHexDigit = 4;
+constexpr int kScaleOutDoublings = 6;  // of a gang's scale-out backoff; keeps the shift in range
+
+// Names of the enumerators, in their order.
+constexpr std::array<std::string_view, 3> kJobPhaseNames{"accepted", "done", "cancelled"};
+constexpr std::array<std::string_view, 7> kGangStateNames{"waiting",  "reserving", "gathering", "running",
+                                                          "stopping", "clearing",  "done"};
 
 int hexValue(char c) {
   if (c >= '0' && c <= '9') return c - '0';
@@ -15,44 +24,16 @@
 }
 }  // namespace
 
-std::string_view name(JobPhase phase) {
-  switch (phase) {
-    case JobPhase::accepted:
-      return "accepted";
-    case JobPhase::done:
-      return "done";
-    case JobPhase::cancelled:
-      return "cancelled";
-  }
-  return "accepted";
-}
-
-std::string_view name(GangState phase) {
-  switch (phase) {
-    case GangState::waiting:
-      return "waiting";
-    case GangState::reserving:
-      return "reserving";
-    case GangState::gathering:
-      return "gathering";
-    case GangState::running:
-      return "running";
-    case GangState::stopping:
-      return "stopping";
-    case GangState::clearing:
-      return "clearing";
-    case GangState::done:
-      return "done";
-  }
-  return "waiting";
-}
+std::string_view name(JobPhase phase) { return kJobPhaseNames.at(static_cast<std::size_t>(phase)); }
+
+std::string_view name(GangState state) { return kGangStateNames.at(static_cast<std::size_t>(state)); }
 
 void Gang::scaleOutFellShort(Time now) {
   ++partialScaleOuts;
-  // Another pool may have what the first one lacked.
+  // No backoff the first time: another pool may have what this one lacked.
   if (partialScaleOuts == 1) return;
-  const auto pause = constants::kRefusedPause * (1 << std::min(partialScaleOuts - 2, 6));
-  nextScaleOut = now + std::min<std::chrono::milliseconds>(pause, constants::kGangScaleOutBackoffMax);
+  const auto backoff = constants::kRefusedPause * (1 << std::min(partialScaleOuts - 2, kScaleOutDoublings));
+  nextScaleOut = now + std::min<std::chrono::milliseconds>(backoff, constants::kGangScaleOutBackoffMax);
 }
 
 std::string jobKey(const std::string& ref) { return "jobs/" + ref; }
@@ -66,16 +47,16 @@
   return (tasks.empty() ? displayedRunning : running) > 0 ? wire::Stage::running : wire::Stage::pending;
 }
 
-void Job::to(std::uint32_t index, TaskPhase next, Time now) {
+void Job::setTaskPhase(std::uint32_t index, TaskPhase next, Time now) {
   TaskPhase& phase = tasks.at(index);
   if (phase == next) return;
-  const auto counter = [this](TaskPhase of) -> std::uint32_t& {
-    return of == TaskPhase::waiting ? waiting : of == TaskPhase::placed ? placed : completed;
+  const auto counter = [this](TaskPhase counted) -> std::uint32_t& {
+    return counted == TaskPhase::waiting ? waiting : counted == TaskPhase::placed ? placed : completed;
   };
   --counter(phase);
   ++counter(next);
   phase = next;
-  if (next == TaskPhase::placed) lastPlaced = now;
+  if (next == TaskPhase::placed) lastPlacedAt = now;
   if (next == TaskPhase::waiting) {
     if (waiting == 1) waitingSince = now;
     firstWaiting = std::min(firstWaiting, index);
@@ -92,11 +73,11 @@
   failures.reset();
   backoffUntil = Time{};
   gang = Gang{};
-  waitingSince = lastPlaced = now;
+  waitingSince = lastPlacedAt = now;
 }
 
 void Job::endTracking() {
-  displayedDone = completed;
+  displayedCompleted = completed;
   displayedRunning = running;
   tasks.clear();
   tasks.shrink_to_fit();
@@ -106,36 +87,37 @@
   failures.reset();
 }
 
-std::string Job::doneChunk(std::uint32_t chunk) const {
+std::string Job::encodeDoneChunk(std::uint32_t chunk) const {
   const std::uint32_t begin = chunk * constants::kDoneChunk;
   const std::uint32_t end = std::min(spec.taskCount, begin + constants::kDoneChunk);
   std::string hex;
-  for (std::uint32_t at = begin; at < end; at += 4) {
-    unsigned nibble = 0;
-    for (std::uint32_t bit = 0; bit < 4 && at + bit < end; ++bit)
-      if (tasks[at + bit] == TaskPhase::completed) nibble |= 1U << bit;
-    hex.push_back(kHex[nibble]);
+  for (std::uint32_t first = begin; first < end; first += kTasksPerHexDigit) {
+    unsigned digit = 0;
+    for (std::uint32_t bit = 0; bit < kTasksPerHexDigit && first + bit < end; ++bit)
+      if (tasks[first + bit] == TaskPhase::completed) digit |= 1U << bit;
+    hex.push_back(kHex[digit]);
   }
   return hex;
 }
 
 bool Job::loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now) {
   const std::uint32_t begin = chunk * constants::kDoneChunk;
-  if (chunk > spec.taskCount / constants::kDoneChunk || hex.size() > constants::kDoneChunk / 4) return false;
+  if (chunk > spec.taskCount / constants::kDoneChunk) return false;
+  if (hex.size() > constants::kDoneChunk / kTasksPerHexDigit) return false;
   for (std::size_t i = 0; i < hex.size(); ++i) {
-    const int nibble = hexValue(hex[i]);
-    if (nibble < 0) return false;
-    for (std::uint32_t bit = 0; bit < 4; ++bit) {
-      const std::uint32_t index = begin + static_cast<std::uint32_t>(i) * 4 + bit;
-      if ((static_cast<unsigned>(nibble) >> bit & 1U) != 0 && index < spec.taskCount)
-        to(index, TaskPhase::completed, now);
+    const int digit = hexValue(hex[i]);
+    if (digit < 0) return false;
+    for (std::uint32_t bit = 0; bit < kTasksPerHexDigit; ++bit) {
+      const std::uint32_t index = begin + static_cast<std::uint32_t>(i) * kTasksPerHexDigit + bit;
+      if ((static_cast<unsigned>(digit) >> bit & 1U) != 0 && index < spec.taskCount)
+        setTaskPhase(index, TaskPhase::completed, now);
     }
   }
   doneRevisions[chunk] = revision;
   return true;
 }
 
-std::int64_t Job::dueMs() const {
+std::int64_t Job::deadlineMs() const {
   if (!spec.dueS) return std::numeric_limits<std::int64_t>::max();
   return acceptedMs + static_cast<std::int64_t>(*spec.dueS * 1000);
 }
@@ -146,7 +128,8 @@
 }
 
 Json encodeFinal(const Job& job, JobPhase phase) {
-  // Team and size stay: tasks of the job may still be on machines, where they count for the team's limit.
+  // The team and the task size are kept: tasks may still be on machines, where they count towards the team's
+  // quota.
   return Json{{"phase", name(phase)},
               {"atMs", job.acceptedMs},
               {"loads", job.spec.taskCount},
@@ -157,39 +140,41 @@
 }
 
 JobTable::Change JobTable::apply(const std::string& ref, const Json& value, std::uint64_t revision) {
-  Job* known = find(ref);
+  const Job* known = find(ref);
   if (known != nullptr && known->revision >= revision) return Change::none;
   const auto phase = wire::textField(value, "phase");
   if (!phase || !wire::validJobRef(ref)) return Change::malformed;
-  if (*phase == name(JobPhase::accepted)) {
-    const Json* spec = wire::field(value, "spec");
-    auto decoded = spec != nullptr ? wire::decodeJob(*spec) : wire::Result<wire::JobSpec>::failure("no spec");
-    if (!decoded) return Change::malformed;
-    // A final stage never goes back, whatever a record says.
-    if (known != nullptr && !known->open()) return Change::malformed;
-    Job& job = jobs_[ref];
-    const bool fresh = known == nullptr;
-    job.revision = revision;
-    job.acceptedMs = wire::field(value, "atMs") != nullptr && value["atMs"].is_number()
-                         ? value["atMs"].get<std::int64_t>()
-                         : 0;
-    if (fresh) job.spec = std::move(*decoded);
-    open_.insert(ref);
-    return fresh ? Change::accepted : Change::none;
-  }
-  JobPhase next = JobPhase::cancelled;
-  if (*phase == name(JobPhase::done)) {
-    next = JobPhase::done;
-  } else if (*phase != name(JobPhase::cancelled)) {
-    return Change::malformed;
-  }
+  if (*phase == name(JobPhase::accepted)) return applyOpen(ref, value, revision);
+  if (*phase == name(JobPhase::done)) return applyFinal(ref, JobPhase::done, value, revision);
+  if (*phase == name(JobPhase::cancelled)) return applyFinal(ref, JobPhase::cancelled, value, revision);
+  return Change::malformed;
+}
+
+JobTable::Change JobTable::applyOpen(const std::string& ref, const Json& value, std::uint64_t revision) {
+  const Job* known = find(ref);
+  const Json* spec = wire::field(value, "spec");
+  auto decoded = spec != nullptr ? wire::decodeJob(*spec) : wire::Result<wire::JobSpec>::failure("no spec");
+  if (!decoded) return Change::malformed;
+  // A final phase never changes back, whatever a record says.
+  if (known != nullptr && !known->open()) return Change::malformed;
+  const bool isNew = known == nullptr;
+  const Json* acceptedMs = wire::field(value, "atMs");
+  Job& job = jobs_[ref];
+  job.revision = revision;
+  job.acceptedMs = acceptedMs != nullptr && acceptedMs->is_number() ? acceptedMs->get<std::int64_t>() : 0;
+  if (isNew) job.spec = std::move(*decoded);
+  open_.insert(ref);
+  return isNew ? Change::accepted : Change::none;
+}
+
+JobTable::Change JobTable::applyFinal(const std::string& ref, JobPhase phase, const Json& value,
+                                      std::uint64_t revision) {
+  const Job* known = find(ref);
+  const bool wasFinal = known != nullptr && !known->open();
   Job& job = jobs_[ref];
-  if (known != nullptr && !known->open()) {
-    job.revision = revision;
-    return known->phase == next ? Change::none : Change::malformed;
-  }
   job.revision = revision;
-  job.phase = next;
+  if (wasFinal) return job.phase == phase ? Change::none : Change::malformed;
+  job.phase = phase;
   wire::JobSpec rest;
   rest.ref.text = ref;
   rest.taskCount = static_cast<std::uint32_t>(wire::countField(value, "loads").value_or(job.spec.taskCount));
@@ -207,7 +192,7 @@
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-bool endedDoneKey(JobTable& jobs, const std::string& key) {
+bool isProgressKeyOfEndedJob(JobTable& jobs, const std::string& key) {
   constexpr std::string_view kPrefix = "done/";
   if (!key.starts_with(kPrefix)) return false;
   const Job* job = jobs.find(key.substr(kPrefix.size(), key.rfind('/') - kPrefix.size()));
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -1,4 +1,4 @@
-// Jobs as stored in the key-value store, and, for the leader, the state of each task of the jobs it owns.
+// Jobs as stored in the key-value store and, on the leader, the state of each task of its jobs.
 #pragma once
 
 #include <map>
@@ -16,90 +16,123 @@
 using wire::Json;
 using wire::Time;
 
+// The phase of a job in its stored record. `done` and `cancelled` are final.
 enum class JobPhase { accepted, done, cancelled };
+
+// The phase's name in job records.
 std::string_view name(JobPhase phase);
 
-// The state of a gang (gang scheduling), as the leader sees it. waiting: for free capacity, with nothing of
-// an earlier attempt left. reserving: its places are being written, in one transaction or several; nothing is
-// started before the last. gathering: started, its tasks fetch their images and wait for each other. running:
-// all do. stopping: all have been told to stop, saving if they can. clearing: the attempt has failed, and
-// what is left of it is stopped. done: one task was reported done, so all are.
-enum class GangState : std::uint8_t { waiting, reserving, gathering, running, stopping, clearing, done };
-std::string_view name(GangState phase);
+// The state of a gang (gang scheduling), as the leader sees it.
+enum class GangState : std::uint8_t {
+  waiting,    // for free capacity, with nothing of an earlier attempt left on a machine
+  reserving,  // its placement records are being written, in one or more transactions; no task starts before
+              // the last of them
+  gathering,  // started: its tasks pull their images and wait for each other
+  running,    // all tasks run
+  stopping,   // all tasks have been told to stop, with a checkpoint if they can
+  clearing,   // the attempt has failed, and its remaining tasks are being stopped
+  done        // one task was reported done, so all are
+};
+
+// The state's name in events.
+std::string_view name(GangState state);
 
+// Gang scheduling state of a job of kind `gang`.
 struct Gang {
-  GangState phase = GangState::waiting;
-  std::uint64_t number = 0;  // of the attempt, the same for all its tasks
-  int failures = 0;          // in a row
-  int partialScaleOuts = 0;  // rentals in a row that did not get all the machines it needs
-  Time nextScaleOut{};       // no machines are rented for it before
+  GangState state = GangState::waiting;
+  std::uint64_t attemptNumber = 0;  // the same for all tasks of one attempt
+  int consecutiveFailures = 0;
+  int partialScaleOuts = 0;  // instance requests in a row that did not get all the machines the gang needs
+  Time nextScaleOut{};       // no instances are requested for the gang before
 
-  // The cloud gave fewer machines than were asked for.
+  // Records that the cloud gave fewer machines than were requested; backs off from the second time on.
   void scaleOutFellShort(Time now);
 
-  // The one function that changes a gang's state.
-  void to(GangState next) { phase = next; }
+  // The one function that changes the state.
+  void setState(GangState next) { state = next; }
 };
 
+// The phase of one task. placed: an attempt of it is on a machine.
 enum class TaskPhase : std::uint8_t { waiting, placed, completed };
 
+// A job. The members up to `displayedRunning` are known to every controller, the others to the leader only.
 struct Job {
-  wire::JobSpec spec;  // when final: only ref, loads, team and size
+  wire::JobSpec spec;  // of a final job: only the reference, the task count, the team and the task's size
   JobPhase phase = JobPhase::accepted;
-  std::uint64_t revision = 0;
-  std::int64_t acceptedMs = 0;  // time of day of the first acceptance
+  std::uint64_t revision = 0;   // of the stored record
+  std::int64_t acceptedMs = 0;  // wall clock, milliseconds since the epoch
 
-  // For display where this controller doesn't own the job.
-  std::uint32_t displayedDone = 0;
+  // Progress to display while this controller does not track the job, as the leader reported it.
+  std::uint32_t displayedCompleted = 0;
   std::uint32_t displayedRunning = 0;
 
-  // The leader's view.
-  std::vector<TaskPhase> tasks;
-  std::uint32_t waiting = 0;
+  // Tracked by the leader.
+  std::vector<TaskPhase> tasks;  // by task index; empty while the job is not tracked
+  std::uint32_t waiting = 0;     // tasks in this phase; the same for `placed` and `completed`
   std::uint32_t placed = 0;
-  std::uint32_t running = 0;
+  std::uint32_t running = 0;  // of the placed tasks, those that run
   std::uint32_t completed = 0;
-  std::uint32_t firstWaiting = 0;                        // no task below this one is waiting
-  std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> stamp of its key
-  std::set<std::uint32_t> dirtyChunks;                   // completions not durable yet
+  std::uint32_t firstWaiting = 0;                        // no task with a lower index is waiting
+  std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> revision of its completion record
+  std::set<std::uint32_t> dirtyChunks;                   // chunks with completions that are not durable yet
   FailureAttribution failures;
-  Time backoffUntil{};  // a gang whose attempt failed is not tried again before
-  Time waitingSince{};
-  Time lastPlaced{};  // or begun to be owned
+  Time backoffUntil{};  // a gang whose attempt failed is not placed again before
+  Time waitingSince{};  // when the first of the waiting tasks began to wait
+  Time lastPlacedAt{};  // last placement of any task, or the start of tracking
   Gang gang;
 
+  // Whether the job is not final.
   bool open() const { return phase == JobPhase::accepted; }
   bool isGang() const { return spec.kind == wire::JobKind::gang; }
+  // Whether all tasks are completed. Services never finish.
   bool finished() const { return spec.kind != wire::JobKind::service && completed == spec.taskCount; }
+  // The stage shown to users.
   wire::Stage displayedStage() const;
-  // The one function that changes a task's phase.
-  void to(std::uint32_t index, TaskPhase next, Time now);
+  // The one function that changes a task's phase; keeps the counters in step.
+  void setTaskPhase(std::uint32_t index, TaskPhase next, Time now);
+  // Starts to track all tasks as waiting, when this controller becomes the leader.
   void beginTracking(Time now);
+  // Frees the state of the tasks and keeps their counts for display.
   void endTracking();
-  std::string doneChunk(std::uint32_t chunk) const;
+  // The completion record of a chunk of `kDoneChunk` tasks: one bit a task, in hex, lowest index first.
+  std::string encodeDoneChunk(std::uint32_t chunk) const;
+  // Marks the tasks of a completion record as completed. False if the record is malformed; tasks before the
+  // malformed digit stay marked.
   bool loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now);
-  std::int64_t dueMs() const;  // time of day; the largest value when there is none
+  // Deadline as wall clock, milliseconds since the epoch; the largest value if the job has none.
+  std::int64_t deadlineMs() const;
 };
 
+// Key of a job's record.
 std::string jobKey(const std::string& ref);
+// Key of a job's completion record for one chunk of tasks.
 std::string doneKey(const std::string& ref, std::uint32_t chunk);
+// Record of an open job.
 Json encodeOpen(const Job& job);
+// Record of a job that ends in the given phase.
 Json encodeFinal(const Job& job, JobPhase phase);
 
 class JobTable;
-// Whether the key is a record of progress of a job that has ended.
-bool endedDoneKey(JobTable& jobs, const std::string& key);
+// Whether the key is a completion record of a job that has ended.
+bool isProgressKeyOfEndedJob(JobTable& jobs, const std::string& key);
 
+// All jobs in the key-value store, by reference. Not thread-safe.
 class JobTable {
  public:
+  // The effect of a record on the table.
   enum class Change { none, accepted, ended, malformed };
-  // Takes a key of the state service; older stamps than the one known change nothing.
+  // Applies a job's record. A revision that is not newer than the known one changes nothing.
   Change apply(const std::string& ref, const Json& value, std::uint64_t revision);
+  // The job, or null. The pointer stays valid while the table exists.
   Job* find(const std::string& ref);
+  // References of the open jobs.
   const std::set<std::string>& open() const { return open_; }
   std::size_t size() const { return jobs_.size(); }
 
  private:
+  Change applyOpen(const std::string& ref, const Json& value, std::uint64_t revision);
+  Change applyFinal(const std::string& ref, JobPhase phase, const Json& value, std::uint64_t revision);
+
   std::unordered_map<std::string, Job> jobs_;
   std::set<std::string> open_;
 };
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -1,17 +1,22 @@
+// Machines and their task attempts; see machines.hpp.
 #include "machines/machines.hpp"
 
 #include <algorithm>
 
 namespace reachhoist::machines {
 
-void Attempt::to(AttemptPhase next, Time now) {
+double Attempt::stopGraceS() const {
+  return canCheckpoint ? checkpointS + constants::kCheckpointGraceMarginS : 0;
+}
+
+void Attempt::setPhase(AttemptPhase next, Time now) {
   if (phase == next) return;
   if (next == AttemptPhase::running && runningSince == Time{}) runningSince = now;
   phase = next;
-  since = now;
+  phaseSince = now;
 }
 
-void Machine::to(MachinePhase next, Time now) {
+void Machine::setPhase(MachinePhase next, Time now) {
   if (phase == next) return;
   if (next == MachinePhase::up && upSince == Time{}) {
     upSince = now;
@@ -23,11 +28,11 @@
 wire::Resources Machine::freeCapacity() const {
   wire::Resources capacity = total;
   for (const Attempt& attempt : attempts)
-    if (attempt.holdsCapacity()) capacity -= attempt.each;
+    if (attempt.holdsCapacity()) capacity -= attempt.resources;
   return capacity;
 }
 
-void Machine::clearErrors() {
+void MachineFaults::clear() {
   consecutiveErrors = 0;
   failedJobs.clear();
   suspectUntil = {};
@@ -43,18 +48,22 @@
   return nullptr;
 }
 
-bool Machine::fetching(const std::string& image) const {
+bool Machine::isPulling(const std::string& image) const {
   return std::any_of(attempts.begin(), attempts.end(),
                      [&](const Attempt& a) { return a.holdsCapacity() && a.image == image; });
 }
 
-void Machine::noteImage(const std::string& image, double sizeGb) {
+double Machine::pullSeconds(double gigabytes) const {
+  return gigabytes / std::max(pullGbPerS, constants::kPullGbPerSLeast);
+}
+
+void Machine::recordImage(const std::string& image, double sizeGb) {
   images[image] = sizeGb;
-  // Which image the machine drops when its cache is full is its own affair: past the limit nothing but the
-  // newest is sure.
-  double sum = 0;
-  for (const auto& [label, gb] : images) sum += gb;
-  if (cacheGb > 0 && sum > cacheGb) {
+  // Which images a machine evicts when its cache is full is not known: only the newest is certain to be
+  // there.
+  double cachedGb = 0;
+  for (const auto& [label, gb] : images) cachedGb += gb;
+  if (cacheGb > 0 && cachedGb > cacheGb) {
     images.clear();
     images[image] = sizeGb;
   }
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -1,4 +1,4 @@
-// Placement record batches: decoding, sizing and encoding; see placement_batches.hpp.
+// Placement batches: decoding, sizing and encoding; see placement_batches.hpp.
 #include "machines/placement_batches.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::size_t kHostFrame = 24;     // bytes of quotes, brackets and the flag around a machine's names
 constexpr std::size_t kAttemptFrame = 24;  // bytes of an attempt's number, index and punctuation
-constexpr std::size_t kPageFrame = 96;     // bytes of the frame and the transaction's mark
+constexpr std::size_t kBatchFrame = 96;    // bytes of the frame and the transaction's marker
 
 std::size_t hostBytes(const Machine& machine) {
   return kHostFrame + machine.host.text.size() + machine.machineType.size() + machine.zone.size();
@@ -32,7 +32,7 @@
     for (std::size_t i = 0; i < list.size(); i += 2) {
       const auto task = list[i].is_string() ? wire::parseTaskId(list[i].get<std::string>()) : std::nullopt;
       if (!task || !list[i + 1].is_number_unsigned()) return std::nullopt;
-      record.placed.emplace_back(*task, list[i + 1].get<std::uint64_t>());
+      record.placed.push_back(BatchedAttempt{*task, list[i + 1].get<std::uint64_t>()});
     }
     out.push_back(std::move(record));
   }
@@ -44,80 +44,94 @@
   return found == batches_.end() ? 0 : found->second.revision;
 }
 
-void PlacementBatchTable::loaded(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts) {
-  PlacementBatch& page = batches_[number];
-  page.revision = revision;
-  page.hosts = std::move(hosts);
+void PlacementBatchTable::setStored(std::uint32_t number, std::uint64_t revision,
+                                    std::set<std::string> hosts) {
+  PlacementBatch& batch = batches_[number];
+  batch.revision = revision;
+  batch.hosts = std::move(hosts);
 }
 
-std::vector<std::uint32_t> PlacementBatchTable::naming(const std::string& host) const {
+std::vector<std::uint32_t> PlacementBatchTable::batchesNaming(const std::string& host) const {
   std::vector<std::uint32_t> out;
-  for (const auto& [number, page] : batches_)
-    if (page.hosts.contains(host)) out.push_back(number);
+  for (const auto& [number, batch] : batches_)
+    if (batch.hosts.contains(host)) out.push_back(number);
   return out;
 }
 
 void PlacementBatchTable::recountBytes(const MachineTable& machines) {
-  for (auto& [number, page] : batches_) page.bytes = kPageFrame;
+  for (auto& [number, batch] : batches_) batch.bytes = kBatchFrame;
   std::vector<std::uint32_t> seen;
   for (const auto& [host, machine] : machines.all()) {
     seen.clear();
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch) continue;
-      PlacementBatch& page = batches_[*attempt.batch];
-      page.bytes += attemptBytes(attempt);
+      PlacementBatch& batch = batches_[*attempt.batch];
+      batch.bytes += attemptBytes(attempt);
       if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
       seen.push_back(*attempt.batch);
-      page.bytes += hostBytes(machine);
+      batch.bytes += hostBytes(machine);
     }
   }
 }
 
-std::optional<std::uint32_t> PlacementBatchTable::place(const Machine& machine, const Attempt& attempt,
-                                                        std::set<std::uint32_t>& round,
-                                                        std::size_t pagesMost) {
-  // Its machine may stand in the page already; counted again, the page errs on the small side.
+std::optional<std::uint32_t> PlacementBatchTable::assignBatch(const Machine& machine, const Attempt& attempt,
+                                                              std::set<std::uint32_t>& roundBatches,
+                                                              std::size_t roundBatchesMost) {
+  // The batch may name the machine already. Counting it again overestimates the size, which is safe.
   const std::size_t bytes = attemptBytes(attempt) + hostBytes(machine);
-  const auto take = [&](std::uint32_t number) {
+  const auto addTo = [&](std::uint32_t number) {
     batches_[number].bytes += bytes;
-    round.insert(number);
+    roundBatches.insert(number);
     return number;
   };
-  for (const std::uint32_t number : round)
-    if (batches_[number].bytes + bytes <= valueSizeLimit_) return take(number);
-  if (round.size() >= pagesMost) return std::nullopt;
-  // The emptiest page, if it is half empty: fuller ones would be written again for little.
-  std::optional<std::uint32_t> best;
-  for (const auto& [number, page] : batches_) {
-    if (round.contains(number) || page.bytes > valueSizeLimit_ / 2) continue;
-    if (!best || page.bytes < batches_[*best].bytes) best = number;
+  for (const std::uint32_t number : roundBatches)
+    if (batches_[number].bytes + bytes <= valueSizeLimit_) return addTo(number);
+  if (roundBatches.size() >= roundBatchesMost) return std::nullopt;
+  if (const auto emptiest = emptiestBatch(roundBatches)) return addTo(*emptiest);
+  const std::uint32_t added = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
+  batches_[added].bytes = kBatchFrame;
+  return addTo(added);
+}
+
+std::optional<std::uint32_t> PlacementBatchTable::emptiestBatch(
+    const std::set<std::uint32_t>& roundBatches) const {
+  // Batches that are more than half full are left alone: they would be rewritten for little gain.
+  std::optional<std::uint32_t> emptiest;
+  std::size_t leastBytes = 0;
+  for (const auto& [number, batch] : batches_) {
+    if (roundBatches.contains(number) || batch.bytes > valueSizeLimit_ / 2) continue;
+    if (emptiest && batch.bytes >= leastBytes) continue;
+    emptiest = number;
+    leastBytes = batch.bytes;
   }
-  if (best) return take(*best);
-  const std::uint32_t fresh = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
-  batches_[fresh].bytes = kPageFrame;
-  return take(fresh);
+  return emptiest;
 }
 
-bool PlacementBatchTable::shrink(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& round,
-                                 std::size_t pagesMost) {
-  if (batches_[number].bytes <= valueSizeLimit_) return round.size() < pagesMost;
-  for (auto& [host, machine] : machines.all()) {
-    std::size_t left = 0;
-    std::size_t moved = 0;
-    for (Attempt& attempt : machine.attempts) {
-      if (attempt.batch != number) continue;
-      ++left;
-      // Its own place in the round is kept free.
-      if (batches_[number].bytes <= valueSizeLimit_) continue;
-      const auto other = place(machine, attempt, round, pagesMost - 1);
-      if (!other) return false;
-      attempt.batch = other;
-      batches_[number].bytes -= attemptBytes(attempt);
-      ++moved;
-    }
-    if (moved > 0 && moved == left) batches_[number].bytes -= hostBytes(machine);
+bool PlacementBatchTable::shrinkBatch(MachineTable& machines, std::uint32_t number,
+                                      std::set<std::uint32_t>& roundBatches, std::size_t roundBatchesMost) {
+  if (fits(number)) return roundBatches.size() < roundBatchesMost;
+  for (auto& [host, machine] : machines.all())
+    if (!moveExcess(machine, number, roundBatches, roundBatchesMost)) return false;
+  return fits(number) && roundBatches.size() < roundBatchesMost;
+}
+
+bool PlacementBatchTable::moveExcess(Machine& machine, std::uint32_t number,
+                                     std::set<std::uint32_t>& roundBatches, std::size_t roundBatchesMost) {
+  std::size_t inBatch = 0;
+  std::size_t moved = 0;
+  for (Attempt& attempt : machine.attempts) {
+    if (attempt.batch != number) continue;
+    ++inBatch;
+    if (fits(number)) continue;
+    // One batch of the round stays reserved for the batch that is being shrunk.
+    const auto other = assignBatch(machine, attempt, roundBatches, roundBatchesMost - 1);
+    if (!other) return false;
+    attempt.batch = other;
+    batches_[number].bytes -= attemptBytes(attempt);
+    ++moved;
   }
-  return batches_[number].bytes <= valueSizeLimit_ && round.size() < pagesMost;
+  if (moved > 0 && moved == inBatch) batches_[number].bytes -= hostBytes(machine);
+  return true;
 }
 
 std::map<std::uint32_t, Json> PlacementBatchTable::encode(const MachineTable& machines,
@@ -126,10 +140,10 @@
   for (const std::uint32_t number : numbers) out[number] = Json{{"hosts", Json::object()}};
   for (const auto& [host, machine] : machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
-      if (!attempt.batch || attempt.phase == AttemptPhase::free) continue;
-      const auto page = out.find(*attempt.batch);
-      if (page == out.end()) continue;
-      Json& entry = page->second["hosts"][host];
+      if (!attempt.batch || attempt.phase == AttemptPhase::released) continue;
+      const auto batch = out.find(*attempt.batch);
+      if (batch == out.end()) continue;
+      Json& entry = batch->second["hosts"][host];
       if (entry.is_null())
         entry = Json::array({machine.machineType, machine.zone, machine.spot, Json::array()});
       entry[3].push_back(attempt.task.str());
--- a/src/machines/placement_batches.hpp
+++ b/src/machines/placement_batches.hpp
@@ -1,6 +1,6 @@
-// Durable placements as placement record batches. A batch is one key of the key-value store and holds the
-// placement records of many task attempts on many machines, so that one compare-and-swap carries a whole
-// scheduling round. The next write of a batch leaves out attempts that have become free.
+// Durable placements as placement batches. A batch is one key of the key-value store and holds the placement
+// records of many task attempts on many machines, so that one compare-and-swap transaction carries a whole
+// scheduling round. The next write of a batch leaves out attempts that have been released.
 #pragma once
 
 #include <map>
@@ -15,53 +15,71 @@
 // What the leader knows of one stored batch.
 struct PlacementBatch {
   std::uint64_t revision = 0;   // 0: not written yet
-  std::size_t bytes = 0;        // what is still held in it, counted in JSON form
+  std::size_t bytes = 0;        // estimated size of its next value, in JSON form
   std::set<std::string> hosts;  // machines that its last written value names
 };
 
+// Key of a batch.
 std::string placementBatchKey(std::uint32_t number);
 
+// The placement record of one task attempt.
+struct BatchedAttempt {
+  wire::TaskId task;
+  std::uint64_t number = 0;  // of the attempt
+  bool operator==(const BatchedAttempt&) const = default;
+};
+
+// One machine in a batch, with its placement records.
 struct BatchedHost {
   std::string host;
   std::string machineType;
   std::string zone;
   bool spot = false;
-  std::vector<std::pair<wire::TaskId, std::uint64_t>> placed;
+  std::vector<BatchedAttempt> placed;
 };
-// Nothing when the record is malformed.
+
+// The machines of a stored batch; nothing if the value is malformed.
 std::optional<std::vector<BatchedHost>> decodePlacementBatch(const Json& value);
 
-// The placement record batches of the leader, sized against the store's value size limit in bytes.
+// The placement batches of the leader. Not thread-safe.
 class PlacementBatchTable {
  public:
-  explicit PlacementBatchTable(std::size_t valueBytes) : valueSizeLimit_(valueBytes) {}
+  // `valueSizeLimit`: the largest size of a batch in bytes, from the store's value size limit.
+  explicit PlacementBatchTable(std::size_t valueSizeLimit) : valueSizeLimit_(valueSizeLimit) {}
 
   void clear() { batches_.clear(); }
-  void loaded(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts);
+  // Records the stored state of a batch, after it was loaded or written.
+  void setStored(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts);
+  // The revision of the stored batch; 0 if there is none.
   std::uint64_t revision(std::uint32_t number) const;
-  void written(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts) {
-    loaded(number, revision, std::move(hosts));
-  }
-  // Pages that name the machine.
-  std::vector<std::uint32_t> naming(const std::string& host) const;
+  // Numbers of the batches whose stored value names the machine.
+  std::vector<std::uint32_t> batchesNaming(const std::string& host) const;
   std::size_t size() const { return batches_.size(); }
 
-  // Counts anew what each page still holds.
+  // Counts again how many bytes each batch's next value takes.
   void recountBytes(const MachineTable& machines);
-  // Finds room for an attempt: on a page of this round, on another half empty one, or on a new one. Nothing
-  // when the round's pages are full.
-  std::optional<std::uint32_t> place(const Machine& machine, const Attempt& attempt,
-                                     std::set<std::uint32_t>& round, std::size_t pagesMost);
-  // A page that an earlier version wrote under larger limits: what no longer fits moves to other pages, which
-  // join the round. Each step is safe by itself: until the page itself is written it goes on naming what has
-  // moved. Whether it may be written now.
-  bool shrink(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& round,
-              std::size_t pagesMost);
-  // The pages' next values.
+  // Chooses the batch for a new attempt: one that this round writes already, one that is at most half full,
+  // or a new one, which joins `roundBatches`. Nothing if the round may write no further batch.
+  std::optional<std::uint32_t> assignBatch(const Machine& machine, const Attempt& attempt,
+                                           std::set<std::uint32_t>& roundBatches,
+                                           std::size_t roundBatchesMost);
+  // Makes a batch fit that an earlier version wrote under a larger limit: attempts beyond the limit move to
+  // other batches, which join `roundBatches`. Each step is safe by itself: until the batch itself is written,
+  // its stored value still names what has moved. Returns whether the batch may be written now.
+  bool shrinkBatch(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
+                   std::size_t roundBatchesMost);
+  // The next values of the given batches.
   std::map<std::uint32_t, Json> encode(const MachineTable& machines,
                                        const std::set<std::uint32_t>& numbers) const;
 
  private:
+  // Moves attempts of the machine to other batches until the batch fits. False if there is no batch for one.
+  bool moveExcess(Machine& machine, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
+                  std::size_t roundBatchesMost);
+  bool fits(std::uint32_t number) { return batches_[number].bytes <= valueSizeLimit_; }
+  // The least full batch that the round does not write yet, if it is at most half full.
+  std::optional<std::uint32_t> emptiestBatch(const std::set<std::uint32_t>& roundBatches) const;
+
   std::map<std::uint32_t, PlacementBatch> batches_;
   std::size_t valueSizeLimit_;
 };
--- a/src/placement/gangs.cpp
+++ b/src/placement/gangs.cpp
@@ -9,7 +9,8 @@
 
 bool Round::isReachable(const Machine& machine) const {
   const auto overdue = wire::seconds(world_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
-  return machine.tokenAcknowledged && !machine.unreachable && world_.now - machine.lastHeartbeatAt <= overdue;
+  return machine.contact.tokenAcknowledged && !machine.contact.unreachable &&
+         world_.now - machine.contact.lastHeartbeatAt <= overdue;
 }
 
 void Round::noteUnreachable(const Machine& machine) {
@@ -107,8 +108,8 @@
       std::vector<const machines::Attempt*> candidates;
       for (const machines::Attempt& attempt : bin.machine->attempts) {
         if (!attempt.holdsCapacity()) continue;
-        if (attempt.stopWanted || stopped_.contains(attempt.number)) {
-          freeCapacity += attempt.each;  // on its way out
+        if (attempt.stopRequested || stopped_.contains(attempt.number)) {
+          freeCapacity += attempt.resources;  // on its way out
         } else if (!attempt.gang && (mayStop(job, guaranteed, attempt) ||
                                      (preemptsForShare && mayPreemptForShare(job, attempt)))) {
           candidates.push_back(&attempt);
@@ -126,7 +127,7 @@
       Option option{0, &bin, {}};
       double dearest = 0;
       for (const auto* victim : candidates) {
-        freeCapacity += victim->each;
+        freeCapacity += victim->resources;
         option.cost += loss(*victim) + 1;
         option.victims.push_back(victim);
         if (countFittingTasks() == 0) continue;
@@ -159,9 +160,8 @@
   for (const Option& option : best) {
     for (const auto* victim : option.victims) {
       if (!stopped_.insert(victim->number).second) continue;
-      option.bin->leaving += victim->each;  // awaited by the gang from now on
-      plan_.stops.push_back(Stop{option.bin->machine, victim->task, victim->number,
-                                 victim->saves ? victim->checkpointS + 1 : 0});
+      option.bin->leaving += victim->resources;  // awaited by the gang from now on
+      plan_.stops.push_back(Stop{option.bin->machine, victim->task, victim->number, victim->stopGraceS()});
     }
   }
 }
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -20,7 +20,7 @@
 
 bool Round::isStoppable(const machines::Attempt& attempt) {
   using machines::AttemptPhase;
-  if (attempt.stopWanted || attempt.team.empty()) return false;
+  if (attempt.stopRequested || attempt.team.empty()) return false;
   return attempt.phase == AttemptPhase::recorded || attempt.phase == AttemptPhase::pulling ||
          attempt.phase == AttemptPhase::running;
 }
@@ -45,7 +45,7 @@
     if (!bin.stopping || !usable(bin, job)) continue;
     wire::Resources freeing = bin.freeCapacity;
     for (const machines::Attempt& attempt : bin.machine->attempts)
-      if (attempt.holdsCapacity() && attempt.stopWanted) freeing += attempt.each;
+      if (attempt.holdsCapacity() && attempt.stopRequested) freeing += attempt.resources;
     while (job.spec.each.fitsIn(freeing)) {
       freeing -= job.spec.each;
       ++coming;
@@ -74,10 +74,10 @@
     });
     wire::Resources freeCapacity = bin.freeCapacity;
     std::vector<const machines::Attempt*> victims;
-    double cost = machine.has(job.spec.image) ? 0 : job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
+    double cost = machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.sizeGb);
     for (const auto* victim : candidates) {
       if (job.spec.each.fitsIn(freeCapacity)) break;
-      freeCapacity += victim->each;
+      freeCapacity += victim->resources;
       cost += loss(*victim) + 1;
       victims.push_back(victim);
     }
@@ -90,9 +90,8 @@
   for (const auto* victim : bestVictims) {
     stopped_.insert(victim->number);
     if (shareAccount_) shareAccount_->leave(*victim);
-    bestBin->freeCapacity += victim->each;
-    plan_.stops.push_back(
-        Stop{bestBin->machine, victim->task, victim->number, victim->saves ? victim->checkpointS + 1 : 0});
+    bestBin->freeCapacity += victim->resources;
+    plan_.stops.push_back(Stop{bestBin->machine, victim->task, victim->number, victim->stopGraceS()});
   }
   // Held for the one it was made for.
   bestBin->freeCapacity -= job.spec.each;
@@ -108,7 +107,7 @@
     return stopS + wire::toSeconds(world_.now - attempt.placedAt);
   }
   if (attempt.phase != machines::AttemptPhase::running) return 0;
-  return attempt.saves ? attempt.checkpointS : wire::toSeconds(world_.now - attempt.runningSince);
+  return attempt.canCheckpoint ? attempt.checkpointS : wire::toSeconds(world_.now - attempt.runningSince);
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -22,18 +22,18 @@
     Bin bin{machine, machine->total, wire::Priority::prod, false, {}, {}, false, {}};
     for (const machines::Attempt& attempt : machine->attempts) {
       if (!attempt.holdsCapacity()) continue;
-      bin.freeCapacity -= attempt.each;
+      bin.freeCapacity -= attempt.resources;
       if (limited) {
         TeamUse& use = teams_[attempt.team];
-        use.cpus += attempt.each.vcpus;
-        use.gpus += attempt.each.accelerators;
+        use.cpus += attempt.resources.vcpus;
+        use.gpus += attempt.resources.accelerators;
       }
       if (!zoned.empty()) {
         const auto found = zoned.find(attempt.task.job.text);
         if (found != zoned.end()) (*found->second)[machine->zone] += 1;
       }
-      if (shares::isLeaving(attempt)) bin.leaving += attempt.each;
-      if (attempt.stopWanted) {
+      if (shares::isLeaving(attempt)) bin.leaving += attempt.resources;
+      if (attempt.stopRequested) {
         bin.stopping = true;
       } else {
         bin.lowest = std::min(bin.lowest, attempt.priority);
@@ -41,7 +41,7 @@
     }
     anySpot_ = anySpot_ || machine->spot;
     lowestPriority_ = std::min(lowestPriority_, bin.lowest);
-    if (takesWork(*machine)) (machine->recordBusy ? busyBins_ : bins_).push_back(std::move(bin));
+    if (takesWork(*machine)) (machine->transactionInFlight ? busyBins_ : bins_).push_back(std::move(bin));
     if (!isReachable(*machine)) noteUnreachable(*machine);
   }
   anyOverGuarantee_ = std::any_of(teams_.begin(), teams_.end(),
@@ -61,12 +61,12 @@
 }
 
 bool Round::takesWork(const Machine& machine) const {
-  if (machine.phase != machines::MachinePhase::up || machine.quarantined) return false;
+  if (machine.phase != machines::MachinePhase::up || machine.faults.quarantined) return false;
   // Heard from in both directions under this term: what is known of it from records, late copies of reports
   // or one direction alone is no reason to give it work.
-  if (!machine.tokenAcknowledged || machine.suspectUntil > world_.now) return false;
+  if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > world_.now) return false;
   const auto silent = wire::seconds(world_.settings.heartbeatIntervalS * constants::kSilentHeartbeats);
-  return world_.now - machine.lastHeartbeatAt <= silent && !machine.spotNoticeAt;
+  return world_.now - machine.contact.lastHeartbeatAt <= silent && !machine.spotNoticeAt;
 }
 
 bool Round::avoids(const Job& job, const Machine& machine) {
@@ -83,7 +83,7 @@
   const SloOutlook outlook = sloOutlook(job, world_.settings, world_.wallMs);
   if (withinGuarantee(job.spec.ref.text)) return Turn{&job, Tier::guaranteed, outlook.latestStartMs};
   if (shareAccount_ && shareAccount_->mustGoOn(job)) return Turn{&job, Tier::overlooked, job.acceptedMs};
-  if (world_.now - job.lastPlaced > constants::kOverlookedAfter)
+  if (world_.now - job.lastPlacedAt > constants::kOverlookedAfter)
     return Turn{&job, Tier::overlooked, job.acceptedMs};
   return Turn{&job, outlook.reachable ? Tier::reachable : Tier::late, outlook.latestStartMs};
 }
@@ -110,9 +110,9 @@
 double Round::delay(const Bin& bin, const Job& job) const {
   const Machine& machine = *bin.machine;
   double seconds = 0;
-  if (!machine.has(job.spec.image)) {
-    const double fetch = job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
-    const bool shared = bin.brings(job.spec.image) || machine.fetching(job.spec.image);
+  if (!machine.hasImage(job.spec.image)) {
+    const double fetch = machine.pullSeconds(job.spec.sizeGb);
+    const bool shared = bin.brings(job.spec.image) || machine.isPulling(job.spec.image);
     seconds += shared ? fetch * constants::kSharedFetchS : fetch;
   }
   if (job.spec.spot && !machine.spot) seconds += constants::kWrongKindS;
--- a/src/placement/share_preemption.cpp
+++ b/src/placement/share_preemption.cpp
@@ -125,14 +125,14 @@
             [this](const auto* a, const auto* b) { return loss(*a) < loss(*b); });
   PreemptionCandidate candidate;
   candidate.bin = at;
-  candidate.cost = machine.has(job.spec.image) ? 0 : job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
+  candidate.cost = machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.sizeGb);
   wire::Resources freeCapacity = bin.unpromisedCapacity();
   shares::ShareAccount::Trial trial(*shareAccount_);
   for (const auto* victim : candidates) {
     if (job.spec.each.fitsIn(freeCapacity)) break;
     if (!trial.mayGive(*victim)) continue;
     trial.give(*victim);
-    freeCapacity += victim->each;
+    freeCapacity += victim->resources;
     candidate.cost += loss(*victim) + 1;
     candidate.victims.push_back(victim);
   }
@@ -153,10 +153,9 @@
 
 void Round::stopForShare(Bin& bin, const machines::Attempt& victim) {
   stopped_.insert(victim.number);
-  bin.leaving += victim.each;
+  bin.leaving += victim.resources;
   bin.stopping = true;
-  plan_.stops.push_back(
-      Stop{bin.machine, victim.task, victim.number, victim.saves ? victim.checkpointS + 1 : 0});
+  plan_.stops.push_back(Stop{bin.machine, victim.task, victim.number, victim.stopGraceS()});
   ++plan_.sharePreemptions;
 }
 
--- a/src/service/completion_records.cpp
+++ b/src/service/completion_records.cpp
@@ -111,7 +111,7 @@
     const auto revision = job->doneRevisions.find(chunk);
     transaction.conditions.push_back(
         {jobs::doneKey(ref, chunk), revision == job->doneRevisions.end() ? 0 : revision->second});
-    transaction.writes.push_back({jobs::doneKey(ref, chunk), Json{{"hex", job->doneChunk(chunk)}}, {}});
+    transaction.writes.push_back({jobs::doneKey(ref, chunk), Json{{"hex", job->encodeDoneChunk(chunk)}}, {}});
     chunks.emplace_back(ref, chunk);
     inFlight_.insert(chunks.back());
   }
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -247,7 +247,7 @@
   progressTerm_ = progress.term;
   for (const peer::JobProgress& shown : progress.jobs) {
     if (jobs::Job* job = jobs_.find(shown.ref); job != nullptr && job->open()) {
-      job->displayedDone = shown.done;
+      job->displayedCompleted = shown.done;
       job->displayedRunning = shown.running;
     }
   }
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -16,7 +16,7 @@
     : context_(context), feed_(feed), jobs_(jobs), leadership_(leadership), applied_(std::move(applied)) {}
 
 Json JobApi::shown(const jobs::Job& job) const {
-  std::uint32_t done = job.tasks.empty() ? job.displayedDone : job.completed;
+  std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completed;
   std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.running;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
   if (!job.open()) running = 0;
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -83,9 +83,9 @@
 void Leader::resumed(wire::Duration away) {
   // Nothing was heard because nobody listened. What an earlier answer renewed goes on running out, though.
   for (auto& [host, machine] : machines_.all()) {
-    machine.lastHeartbeatAt += away;
-    machine.lastDirectContactAt += away;
-    if (machine.unacknowledgedSince != Time{}) machine.unacknowledgedSince += away;
+    machine.contact.lastHeartbeatAt += away;
+    machine.contact.lastDirectContactAt += away;
+    if (machine.contact.unacknowledgedSince != Time{}) machine.contact.unacknowledgedSince += away;
   }
   partitionDetector_.reset();
 }
@@ -172,7 +172,7 @@
   if (hosts)
     for (const machines::BatchedHost& record : *hosts) names.insert(record.host);
   // Even a page that can't be read has a stamp, and its next writing depends on it.
-  batches_.loaded(page, revision, std::move(names));
+  batches_.setStored(page, revision, std::move(names));
   if (!hosts) {
     context_.event(Level::error, "bad_record", {{"page", number}});
     return;
@@ -183,10 +183,10 @@
     machine.zone = record.zone;
     machine.spot = record.spot;
     machine.phase = MachinePhase::up;
-    machine.provisionedAt = machine.lastHeartbeatAt = machine.lastDirectContactAt = machine.upSince =
-        machine.idleSince = context_.now;
+    machine.provisionedAt = machine.contact.lastHeartbeatAt = machine.contact.lastDirectContactAt =
+        machine.upSince = machine.idleSince = context_.now;
     // Until this moment plus its window an earlier leader may have renewed the worker's lease.
-    machine.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    machine.contact.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
     for (const auto& [task, attemptNumber] : record.placed) {
       // On its way from a page that has become too large to another it stands on both.
       if (machine.find(task, attemptNumber) != nullptr) continue;
@@ -196,7 +196,7 @@
       attempt.phase = AttemptPhase::recorded;
       attempt.inherited = true;
       attempt.batch = page;
-      attempt.since = attempt.placedAt = context_.now;
+      attempt.phaseSince = attempt.placedAt = context_.now;
       machine.attempts.push_back(std::move(attempt));
     }
   }
@@ -218,7 +218,7 @@
   for (const std::string& host : loadedDecommissioning_) {
     Machine& machine = machines_.add(host);
     machine.phase = MachinePhase::terminating;
-    machine.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    machine.contact.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
   }
   loadedDecommissioning_.clear();
   for (auto& [host, machine] : machines_.all()) {
@@ -227,11 +227,11 @@
       jobs::Job* job = jobs_.find(attempt.task.job.text);
       if (job != nullptr) {
         // Also when it has ended since: what is still on a machine counts for its team until proven gone.
-        attempt.each = job->spec.each;
+        attempt.resources = job->spec.each;
         attempt.team = job->spec.team;
       }
       if (job == nullptr || !job->open() || attempt.task.index >= job->spec.taskCount) {
-        attempt.stopWanted = true;
+        attempt.stopRequested = true;
         continue;
       }
       attempt.image = job->spec.image;
@@ -239,10 +239,10 @@
       attempt.priority = job->spec.priority;
       attempt.isService = job->spec.kind == wire::JobKind::service;
       attempt.gang = job->isGang();
-      attempt.saves = job->spec.checkpointEveryS > 0;
+      attempt.canCheckpoint = job->spec.checkpointEveryS > 0;
       attempt.checkpointS = job->spec.checkpointS;
       if (job->tasks[attempt.task.index] == jobs::TaskPhase::waiting)
-        job->to(attempt.task.index, jobs::TaskPhase::placed, context_.now);
+        job->setTaskPhase(attempt.task.index, jobs::TaskPhase::placed, context_.now);
     }
     if (machine.phase == MachinePhase::terminating) cloud_->release(context_.now, host);
   }
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -25,9 +25,9 @@
     machine.zone = pool.zone;
     machine.spot = pool.spot;
     machine.provisionedAt = context_.now;
-    machine.lastHeartbeatAt = context_.now;
-    machine.lastDirectContactAt = context_.now;
-    machine.leaseRenewedAt = context_.now;
+    machine.contact.lastHeartbeatAt = context_.now;
+    machine.contact.lastDirectContactAt = context_.now;
+    machine.contact.leaseRenewedAt = context_.now;
     describe(machine);
   }
   const std::set<std::string> gangs = std::exchange(gangScaleOuts_[pool], {});
@@ -48,8 +48,8 @@
     Machine* machine = machines_.find(host);
     if (machine == nullptr) continue;
     freeAllAttempts(*machine, "machine gone");
-    machine->to(MachinePhase::terminated, context_.now);
-    for (const std::uint32_t page : batches_.naming(host)) staleBatches_.insert(page);
+    machine->setPhase(MachinePhase::terminated, context_.now);
+    for (const std::uint32_t page : batches_.batchesNaming(host)) staleBatches_.insert(page);
     context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
     // A placement whose outcome is still open finds nothing left to start, and that is right.
     for (Attempt& attempt : machine->attempts) release(*machine, attempt, "machine gone");
@@ -72,13 +72,13 @@
       stranger.spot = entry.spot;
       stranger.endpoint = entry.endpoint;
       stranger.provisionedAt = context_.now - wire::seconds(entry.ageS);
-      stranger.lastHeartbeatAt = context_.now;
-      stranger.lastDirectContactAt = context_.now;
-      stranger.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+      stranger.contact.lastHeartbeatAt = context_.now;
+      stranger.contact.lastDirectContactAt = context_.now;
+      stranger.contact.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
       describe(stranger);
       // Nothing is placed on it, but an earlier leader had it up: it will report, and must not be taken for
       // one that never came up because of its age.
-      if (entry.stage == wire::HostStage::running) stranger.to(MachinePhase::up, context_.now);
+      if (entry.stage == wire::HostStage::running) stranger.setPhase(MachinePhase::up, context_.now);
       machine = &stranger;
     }
     if (machine->endpoint.empty()) machine->endpoint = entry.endpoint;
@@ -100,14 +100,14 @@
 void Leader::drain(Machine& machine, const char* why, bool gently) {
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
   machine.decommissionReason = why;
-  machine.to(MachinePhase::draining, context_.now);
+  machine.setPhase(MachinePhase::draining, context_.now);
   context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
   for (Attempt& attempt : machine.attempts) {
     if (gently && !attempt.isService) continue;
     if (attempt.gang) {
       stopGang(attempt.task.job.text, constants::kNoHurryS, why);
     } else {
-      commands_.stop(machine, attempt, attempt.saves ? attempt.checkpointS + 1 : 0);
+      commands_.stop(machine, attempt, attempt.stopGraceS());
     }
   }
 }
@@ -115,7 +115,7 @@
 void Leader::decommission(Machine& machine, const char* why) {
   if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
   machine.decommissionReason = why;
-  machine.to(MachinePhase::decommissioning, context_.now);
+  machine.setPhase(MachinePhase::decommissioning, context_.now);
   context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
 }
 
@@ -153,7 +153,7 @@
   }
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
-      machine.to(MachinePhase::decommissioning, context_.now);
+      machine.setPhase(MachinePhase::decommissioning, context_.now);
     } else if (machine.phase == MachinePhase::up && machine.spotNoticeAt && machine.attempts.empty()) {
       drain(machine, "spot notice");
     }
@@ -164,7 +164,7 @@
   if (partitionDetector_.selfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasks;
   for (const auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::up || !machine.unreachable ||
+    if (machine.phase != MachinePhase::up || !machine.contact.unreachable ||
         !partitionDetector_.contains(machine.zone))
       continue;
     for (const Attempt& attempt : machine.attempts)
@@ -224,7 +224,8 @@
       int left = -step.machines;
       for (auto& [host, machine] : machines_.all()) {
         if (left <= 0) break;
-        if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) continue;
+        if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.transactionInFlight)
+          continue;
         if (cloud::PoolKey{machine.machineType, machine.zone, machine.spot} != step.pool) continue;
         if (!spare.allowsRelease(machine)) break;
         spare.release(machine);
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -7,7 +7,7 @@
 namespace reachhoist::service {
 
 bool Leader::holdsService(const Attempt& attempt) {
-  return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopWanted &&
+  return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopRequested &&
          attempt.priority >= wire::Priority::high;
 }
 
@@ -19,13 +19,13 @@
   if (partitionDetector_.zones().empty() || partitionDetector_.selfPartitioned()) return;
   double capacity = 0;
   for (const auto& [host, machine] : machines_.all()) {
-    const bool reached = machine.phase == MachinePhase::up && machine.tokenAcknowledged &&
-                         !machine.unreachable && !machine.spotNoticeAt && !machine.spot;
+    const bool reached = machine.phase == MachinePhase::up && machine.contact.tokenAcknowledged &&
+                         !machine.contact.unreachable && !machine.spotNoticeAt && !machine.spot;
     if (reached) capacity += std::max(0.0, machine.freeCapacity().vcpus);
     // On its way out already, its services will take of the same room.
     if (machine.phase == MachinePhase::decommissioning || machine.phase == MachinePhase::terminating)
       for (const Attempt& attempt : machine.attempts)
-        if (holdsService(attempt)) capacity -= attempt.each.vcpus;
+        if (holdsService(attempt)) capacity -= attempt.resources.vcpus;
   }
   for (const placement::UnplacedDemand& unmet : unplaced_)
     if (unmet.job->spec.priority >= wire::Priority::high)
@@ -34,13 +34,13 @@
   const auto unheardFor =
       wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
   for (auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::up || !machine.unreachable ||
+    if (machine.phase != MachinePhase::up || !machine.contact.unreachable ||
         !partitionDetector_.contains(machine.zone) ||
-        context_.now - machine.lastHeartbeatAt < (machine.sequence == 0 ? unheardFor : moveAfter))
+        context_.now - machine.contact.lastHeartbeatAt < (machine.sequence == 0 ? unheardFor : moveAfter))
       continue;
     double cpus = 0;
     for (const Attempt& attempt : machine.attempts)
-      if (holdsService(attempt)) cpus += attempt.each.vcpus;
+      if (holdsService(attempt)) cpus += attempt.resources.vcpus;
     if (cpus == 0 || cpus > capacity) continue;
     capacity -= cpus;
     decommission(machine, "cut off");
@@ -90,7 +90,7 @@
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase == MachinePhase::terminated) continue;
     quarantineIfFaulty(machine);
-    const bool over = context_.now - machine.leaseRenewedAt > settings.leaseOver();
+    const bool over = context_.now - machine.contact.leaseRenewedAt > settings.leaseOver();
     if (over && machine.phase != MachinePhase::booting &&
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& a) { return a.phase != AttemptPhase::planned; })) {
@@ -98,19 +98,21 @@
       freeAllAttempts(machine, "lease over");
     }
     if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) continue;
-    const auto silent = context_.now - machine.lastHeartbeatAt;
+    const auto silent = context_.now - machine.contact.lastHeartbeatAt;
     const bool cut = partitionDetector_.doubtful(machine.zone);
     if (settled && silent > silentFor && (over || !cut)) decommission(machine, "silent");
     // Overdue and out of reach as well: no need to wait for a third report.
-    if (settled && silent > probeAfter && !machine.probing && !machine.unreachable &&
+    if (settled && silent > probeAfter && !machine.contact.probeInFlight && !machine.contact.unreachable &&
         !machine.endpoint.empty() && commands_.mayCall()) {
-      machine.probing = true;
+      machine.contact.probeInFlight = true;
       probe(machine);
     }
-    if (settled && machine.unreachable && silent > goneFor && !cut) decommission(machine, "unreachable");
+    if (settled && machine.contact.unreachable && silent > goneFor && !cut)
+      decommission(machine, "unreachable");
     // It reports, but nothing that we send arrives: its lease has run out, and it is of no use to anybody.
-    const bool unacknowledged = !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
-                                context_.now - machine.unacknowledgedSince >
+    const bool unacknowledged = !machine.contact.tokenAcknowledged &&
+                                machine.contact.unacknowledgedSince != Time{} &&
+                                context_.now - machine.contact.unacknowledgedSince >
                                     settings.leaseOver() + constants::kUnacknowledgedPatience;
     if (settled && unacknowledged && machine.phase == MachinePhase::up)
       decommission(machine, "acknowledges nothing");
@@ -124,11 +126,11 @@
   if (context_.now - actingSince_ < constants::kProbeUnheardAfter || !holdsLeaderLease()) return;
   unsigned left = std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / 4);
   for (auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
+    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
         machine.endpoint.empty())
       continue;
     if (left-- == 0 || !commands_.mayCall()) return;
-    machine.probedUnheard = true;
+    machine.contact.takeoverProbeSent = true;
     probe(machine);
   }
 }
@@ -141,11 +143,12 @@
       wire::seconds(context_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
   for (auto& [host, machine] : machines_.all()) {
     if (asked == constants::kDirectSamples || !commands_.mayCall()) return;
-    const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
-                         context_.now - machine.lastDirectContactAt > overdue;
-    if (machine.phase != MachinePhase::up || !relayed || machine.probing || machine.endpoint.empty())
+    const bool relayed = context_.now - machine.contact.lastHeartbeatAt <= overdue &&
+                         context_.now - machine.contact.lastDirectContactAt > overdue;
+    if (machine.phase != MachinePhase::up || !relayed || machine.contact.probeInFlight ||
+        machine.endpoint.empty())
       continue;
-    machine.probing = true;
+    machine.contact.probeInFlight = true;
     probe(machine);
     ++asked;
   }
@@ -165,14 +168,14 @@
     commands_.callEnds();
     Machine* known = machines_.find(host);
     if (known == nullptr) return;
-    known->probing = false;
-    if (result.status == 0) known->unreachable = true;
+    known->contact.probeInFlight = false;
+    if (result.status == 0) known->contact.unreachable = true;
     auto heartbeat = wire::decodeHeartbeat(result.body);
     if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
     applyHeartbeat(*known, *heartbeat, Source::direct);
-    known->unreachable = false;
+    known->contact.unreachable = false;
     // An empty command brings the token.
-    if (!known->tokenAcknowledged) commands_.markDue(*known);
+    if (!known->contact.tokenAcknowledged) commands_.markDue(*known);
   });
 }
 
@@ -190,7 +193,7 @@
     if (attempt.gang) {
       stopGang(attempt.task.job.text, leftS, "spot notice");
     } else {
-      commands_.stop(machine, attempt, attempt.saves ? attempt.checkpointS + 1 : 0);
+      commands_.stop(machine, attempt, attempt.stopGraceS());
     }
   }
 }
--- a/src/service/leader_gangs.cpp
+++ b/src/service/leader_gangs.cpp
@@ -15,13 +15,13 @@
 }
 
 void Leader::setGangState(jobs::Job& job, GangState next, const char* why) {
-  if (job.gang.phase == next) return;
+  if (job.gang.state == next) return;
   context_.event(Level::info, "gang",
                  {{"job", job.spec.ref.text},
-                  {"from", std::string(name(job.gang.phase))},
+                  {"from", std::string(name(job.gang.state))},
                   {"to", std::string(name(next))},
                   {"why", why}});
-  job.gang.to(next);
+  job.gang.setState(next);
 }
 
 // What an earlier leader left. A whole attempt may be running; part of one can't be completed by anybody.
@@ -30,9 +30,9 @@
   for (auto& [host, machine] : machines_.all()) {
     for (const Attempt& attempt : machine.attempts) {
       jobs::Job* job = attempt.gang ? jobs_.find(attempt.task.job.text) : nullptr;
-      if (job == nullptr || attempt.number < job->gang.number) continue;
-      if (attempt.number > job->gang.number) tasks[attempt.task.job.text].clear();
-      job->gang.number = attempt.number;
+      if (job == nullptr || attempt.number < job->gang.attemptNumber) continue;
+      if (attempt.number > job->gang.attemptNumber) tasks[attempt.task.job.text].clear();
+      job->gang.attemptNumber = attempt.number;
       tasks[attempt.task.job.text].insert(attempt.task.index);
     }
   }
@@ -41,15 +41,15 @@
     const bool whole = found.size() == job.spec.taskCount;
     setGangState(job, whole ? GangState::gathering : GangState::clearing, "adopted");
     forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-      if (!whole || attempt.number != job.gang.number) commands_.stop(machine, attempt, 0);
+      if (!whole || attempt.number != job.gang.attemptNumber) commands_.stop(machine, attempt, 0);
     });
   }
 }
 
 bool Leader::gangMayStart(const Attempt& attempt) {
   const jobs::Job* job = jobs_.find(attempt.task.job.text);
-  return job != nullptr && job->open() && job->gang.number == attempt.number &&
-         job->gang.phase == GangState::gathering;
+  return job != nullptr && job->open() && job->gang.attemptNumber == attempt.number &&
+         job->gang.state == GangState::gathering;
 }
 
 // Places that found no page in the round of their decision.
@@ -62,19 +62,19 @@
     bool more = false;
     forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
       if (attempt.phase != AttemptPhase::planned || attempt.batch) return;
-      if (attempt.stopWanted || machine.phase != MachinePhase::up) {
+      if (attempt.stopRequested || machine.phase != MachinePhase::up) {
         release(machine, attempt, "not placed");
-        machine.recordBusy =
+        machine.transactionInFlight =
             std::any_of(machine.attempts.begin(), machine.attempts.end(),
                         [](const Attempt& other) { return other.phase == AttemptPhase::planned; });
         return;
       }
-      attempt.batch = batches_.place(machine, attempt, pages, constants::kBatchesPerRound);
+      attempt.batch = batches_.assignBatch(machine, attempt, pages, constants::kBatchesPerRound);
       if (!attempt.batch) {
         more = true;
         return;
       }
-      machine.recordBusy = true;
+      machine.transactionInFlight = true;
       hosts.insert(machine.host.text);
       jobs.insert(ref);
     });
@@ -83,10 +83,10 @@
 }
 
 void Leader::onGangRecorded(jobs::Job& job) {
-  if (job.gang.phase != GangState::reserving) return;
+  if (job.gang.state != GangState::reserving) return;
   std::uint32_t recorded = 0;
   forEachAttempt(job.spec.ref.text, [&](Machine&, Attempt& attempt) {
-    if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::recorded) ++recorded;
+    if (attempt.number == job.gang.attemptNumber && attempt.phase == AttemptPhase::recorded) ++recorded;
   });
   if (recorded < job.spec.taskCount) return;
   setGangState(job, GangState::gathering, "all places are durable");
@@ -94,25 +94,25 @@
 }
 
 void Leader::onGangTaskRunning(jobs::Job& job) {
-  if (job.gang.phase != GangState::gathering || job.running < job.spec.taskCount) return;
+  if (job.gang.state != GangState::gathering || job.running < job.spec.taskCount) return;
   // Tasks that linger of an earlier attempt, or save already, are no evidence that this one runs.
   std::uint32_t run = 0;
   forEachAttempt(job.spec.ref.text, [&](Machine&, const Attempt& attempt) {
-    if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::running) ++run;
+    if (attempt.number == job.gang.attemptNumber && attempt.phase == AttemptPhase::running) ++run;
   });
   if (run < job.spec.taskCount) return;
-  job.gang.failures = 0;
+  job.gang.consecutiveFailures = 0;
   setGangState(job, GangState::running, "all tasks run");
 }
 
 // A task of the present attempt has ended without being done, or is gone: the rest can't go on.
 void Leader::onGangTaskLost(jobs::Job& job, const Attempt& attempt, const char* why) {
-  if (!job.isGang() || !job.open() || attempt.number != job.gang.number) return;
-  const GangState phase = job.gang.phase;
+  if (!job.isGang() || !job.open() || attempt.number != job.gang.attemptNumber) return;
+  const GangState phase = job.gang.state;
   if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
   setGangState(job, GangState::clearing, why);
-  ++job.gang.failures;
-  const auto pause = constants::kGangRetry * (1 << std::min(job.gang.failures - 1, 6));
+  ++job.gang.consecutiveFailures;
+  const auto pause = constants::kGangRetry * (1 << std::min(job.gang.consecutiveFailures - 1, 6));
   job.backoffUntil = std::max(
       job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(pause, constants::kGangRetryMost));
   forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt& other) {
@@ -124,7 +124,7 @@
 void Leader::stopGang(const std::string& ref, double leftS, const char* why) {
   jobs::Job* job = jobs_.find(ref);
   if (job == nullptr || !job->open() || !job->isGang()) return;
-  const GangState phase = job->gang.phase;
+  const GangState phase = job->gang.state;
   if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
   const double graceS = job->spec.checkpointS + 1;
   const bool saves = phase == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
@@ -139,7 +139,7 @@
 void Leader::completeGang(jobs::Job& job) {
   setGangState(job, GangState::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
-    job.to(index, jobs::TaskPhase::completed, context_.now);
+    job.setTaskPhase(index, jobs::TaskPhase::completed, context_.now);
   records_.finished(job.spec.ref.text);
   planDue_ = true;
 }
--- a/src/service/leader_heartbeats.cpp
+++ b/src/service/leader_heartbeats.cpp
@@ -19,7 +19,7 @@
   if (!mayRenewLeases()) {
     // It is there all the same: after a long outage machines that kept reporting are not given up for silent.
     Machine* known = machines_.find(heartbeat.host.text);
-    if (known != nullptr && newer(*known, heartbeat)) known->lastHeartbeatAt = context_.now;
+    if (known != nullptr && newer(*known, heartbeat)) known->contact.lastHeartbeatAt = context_.now;
     return {};
   }
   // A worker that has seen a later term drops our answers, and a 200 would only hold it here until its lease
@@ -32,9 +32,9 @@
     // Nobody expected it: a late rental, or one of an earlier leader. It is adopted like any other.
     machine = &machines_.add(heartbeat.host.text);
     machine->provisionedAt = context_.now;
-    machine->leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
-    machine->lastHeartbeatAt = context_.now;
-    machine->lastDirectContactAt = context_.now;
+    machine->contact.leaseRenewedAt = electedAt_ + context_.settings.answerWindow();
+    machine->contact.lastHeartbeatAt = context_.now;
+    machine->contact.lastDirectContactAt = context_.now;
   }
   if (!newer(*machine, heartbeat)) return {};
   if (machine->phase == MachinePhase::terminating || machine->phase == MachinePhase::terminated) return {};
@@ -44,7 +44,7 @@
   machine->spot = heartbeat.spot;
   describe(*machine);
   if (machine->phase == MachinePhase::booting) {
-    machine->to(MachinePhase::up, context_.now);
+    machine->setPhase(MachinePhase::up, context_.now);
     boots_.recordBoot(heartbeat.machineType, heartbeat.zone, context_.now - machine->provisionedAt,
                       context_.now);
     context_.event(Level::info, "machine_up",
@@ -54,9 +54,9 @@
                     {"after_s", wire::toSeconds(context_.now - machine->provisionedAt)}});
   }
   applyHeartbeat(*machine, heartbeat, source);
-  machine->unreachable = false;
-  machine->lastHeartbeatAt = context_.now;
-  machine->leaseRenewedAt = std::max(machine->leaseRenewedAt, context_.now);
+  machine->contact.unreachable = false;
+  machine->contact.lastHeartbeatAt = context_.now;
+  machine->contact.leaseRenewedAt = std::max(machine->contact.leaseRenewedAt, context_.now);
   const auto commands = commands_.commandsFor(*machine, source, heartbeat.sequence);
   return HeartbeatResponse{200, wire::encodeCommands(commands_.fencingTokenOf(*machine), commands)};
 }
@@ -65,7 +65,7 @@
   if (!newer(machine, heartbeat)) return;
   if (heartbeat.incarnation > machine.incarnation) onNewIncarnation(machine, heartbeat);
   machine.sequence = heartbeat.sequence;
-  if (source != Source::relay) machine.lastDirectContactAt = context_.now;
+  if (source != Source::relay) machine.contact.lastDirectContactAt = context_.now;
   machine.workerToken = std::max(machine.workerToken, heartbeat.token);
   commands_.noteAcknowledgedToken(machine);
   for (Attempt& attempt : machine.attempts) {
@@ -87,11 +87,11 @@
       stray.task = status.task;
       stray.number = status.attempt;
       stray.inherited = true;
-      stray.stopWanted = true;
+      stray.stopRequested = true;
       stray.phase = AttemptPhase::recorded;
-      stray.since = stray.placedAt = context_.now;
+      stray.phaseSince = stray.placedAt = context_.now;
       if (const jobs::Job* job = jobs_.find(status.task.job.text); job != nullptr) {
-        stray.each = job->spec.each;
+        stray.resources = job->spec.each;
         stray.team = job->spec.team;
       }
       machine.attempts.push_back(std::move(stray));
@@ -122,14 +122,14 @@
   machine.incarnation = heartbeat.incarnation;
   // The new session's lease counts from its beginning, whether or not any of its reports was answered. What
   // is started in it by direct commands goes on for that long.
-  machine.leaseRenewedAt = std::max(machine.leaseRenewedAt, context_.now);
+  machine.contact.leaseRenewedAt = std::max(machine.contact.leaseRenewedAt, context_.now);
   machine.images = {};
 }
 
 void Leader::setRunning(Attempt& attempt, AttemptPhase next) {
-  const bool was = attempt.onMachine();
-  attempt.to(next, context_.now);
-  const bool is = attempt.onMachine();
+  const bool was = attempt.isExecuting();
+  attempt.setPhase(next, context_.now);
+  const bool is = attempt.isExecuting();
   if (was == is) return;
   jobs::Job* job = jobs_.find(attempt.task.job.text);
   if (job == nullptr || job->tasks.empty()) return;
@@ -161,7 +161,7 @@
                         {"machine", machine.host.text},
                         {"after_s", wire::toSeconds(context_.now - attempt.placedAt)}});
       setRunning(attempt, AttemptPhase::running);
-      if (!attempt.image.empty()) machine.noteImage(attempt.image, attempt.sizeGb);
+      if (!attempt.image.empty()) machine.recordImage(attempt.image, attempt.sizeGb);
       if (attempt.gang)
         if (jobs::Job* job = jobs_.find(attempt.task.job.text); job != nullptr && job->open())
           onGangTaskRunning(*job);
@@ -174,14 +174,14 @@
   }
   if (attempt.phase == AttemptPhase::ended) return;
   planDue_ = true;
-  const bool wasPlaced = attempt.phase != AttemptPhase::free;
+  const bool wasPlaced = attempt.phase != AttemptPhase::released;
   setRunning(attempt, AttemptPhase::ended);
   attempt.cause = status.cause;
   if (!wasPlaced) return;
   jobs::Job* job = jobs_.find(attempt.task.job.text);
   const bool known = job != nullptr && job->open() && attempt.task.index < job->tasks.size();
   if (status.cause == wire::Cause::done && !attempt.isService) {
-    machine.clearErrors();
+    machine.faults.clear();
     if (known) complete(attempt.task);
     return;
   }
@@ -206,7 +206,7 @@
     for (const Attempt& other : machine.attempts)
       if (other.holdsCapacity() && other.task == task) return;
   }
-  job.to(task.index, jobs::TaskPhase::waiting, context_.now);
+  job.setTaskPhase(task.index, jobs::TaskPhase::waiting, context_.now);
 }
 
 void Leader::reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
@@ -227,15 +227,15 @@
     const bool notTaken =
         attempt.startSentInSequence != 0 && heartbeat.sequence > attempt.startSentInSequence;
     if (notTaken && !seen) commands_.advanceFencingToken(machine);
-    if (seen || attempt.inherited || attempt.stopWanted || notTaken)
+    if (seen || attempt.inherited || attempt.stopRequested || notTaken)
       release(machine, attempt, seen ? "reaped" : notTaken ? "not taken" : "absent");
   }
 }
 
 void Leader::release(Machine& machine, Attempt& attempt, const char* why) {
-  if (attempt.phase == AttemptPhase::free) return;
+  if (attempt.phase == AttemptPhase::released) return;
   const bool wasEnded = attempt.phase == AttemptPhase::ended;
-  setRunning(attempt, AttemptPhase::free);
+  setRunning(attempt, AttemptPhase::released);
   planDue_ = true;
   if (wasEnded) return;  // its task has moved on already
   jobs::Job* job = jobs_.find(attempt.task.job.text);
@@ -255,14 +255,15 @@
 }
 
 void Leader::eraseFreedAttempts(Machine& machine) {
-  std::erase_if(machine.attempts, [](const Attempt& attempt) { return attempt.phase == AttemptPhase::free; });
+  std::erase_if(machine.attempts,
+                [](const Attempt& attempt) { return attempt.phase == AttemptPhase::released; });
 }
 
 void Leader::complete(const wire::TaskId& task) {
   jobs::Job& job = *jobs_.find(task.job.text);
   if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
   if (job.isGang()) return completeGang(job);
-  job.to(task.index, jobs::TaskPhase::completed, context_.now);
+  job.setTaskPhase(task.index, jobs::TaskPhase::completed, context_.now);
   if (job.failures.jobAtFault()) job.failures.reset();
   records_.completed(task);
   planDue_ = true;
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -10,7 +10,7 @@
   for (const std::string& key : outcome.failed) {
     if (key.starts_with("jobs/")) {
       jobFeed_.confirm(context_.now, [](bool) {});
-    } else if (jobs::endedDoneKey(jobs_, key)) {
+    } else if (jobs::isProgressKeyOfEndedJob(jobs_, key)) {
       // Its job became final while this waited for its turn, and its records of progress have been deleted.
     } else {
       // Somebody else has written what only a leader writes, or we know less than we think: start over.
@@ -95,10 +95,10 @@
     const wire::JobSpec& spec = assignment.job->spec;
     Attempt attempt;
     attempt.task = wire::TaskId{spec.ref, assignment.index};
-    attempt.batch = batches_.place(*assignment.machine, attempt, pages, constants::kBatchesPerRound);
+    attempt.batch = batches_.assignBatch(*assignment.machine, attempt, pages, constants::kBatchesPerRound);
     jobs::Gang& gang = assignment.job->gang;
     attempt.gang = assignment.job->isGang();
-    const bool begun = attempt.gang && gang.phase == jobs::GangState::reserving;
+    const bool begun = attempt.gang && gang.state == jobs::GangState::reserving;
     if (!attempt.batch && !begun) {
       planDue_ = true;  // the rest goes with the next round
       break;
@@ -106,24 +106,24 @@
     // A gang's places are taken in one decision, though they may need several transactions.
     if (!attempt.batch) reserving_.insert(spec.ref.text);
     // Unique for ever: no later life or leader gives the same number. A gang's tasks share theirs.
-    attempt.number = begun ? gang.number : cluster::token(term_, ++attempts_);
+    attempt.number = begun ? gang.attemptNumber : cluster::token(term_, ++attempts_);
     if (attempt.gang && !begun) {
-      gang.number = attempt.number;
+      gang.attemptNumber = attempt.number;
       gang.partialScaleOuts = 0;
       setGangState(*assignment.job, jobs::GangState::reserving, "room for all");
     }
-    attempt.each = spec.each;
+    attempt.resources = spec.each;
     attempt.team = spec.team;
     attempt.image = spec.image;
     attempt.sizeGb = spec.sizeGb;
     attempt.priority = spec.priority;
     attempt.isService = spec.kind == wire::JobKind::service;
-    attempt.saves = spec.checkpointEveryS > 0;
+    attempt.canCheckpoint = spec.checkpointEveryS > 0;
     attempt.checkpointS = spec.checkpointS;
-    attempt.since = attempt.placedAt = context_.now;
+    attempt.phaseSince = attempt.placedAt = context_.now;
     assignment.machine->attempts.push_back(std::move(attempt));
-    assignment.machine->recordBusy = true;
-    assignment.job->to(assignment.index, jobs::TaskPhase::placed, context_.now);
+    assignment.machine->transactionInFlight = true;
+    assignment.job->setTaskPhase(assignment.index, jobs::TaskPhase::placed, context_.now);
     if (!assignment.machine->attempts.back().batch) continue;
     hosts.insert(assignment.machine->host.text);
     jobs.insert(spec.ref.text);
@@ -147,7 +147,7 @@
     batches_.recountBytes(machines_);
     for (auto at = staleBatches_.begin();
          at != staleBatches_.end() && pages.size() < constants::kBatchesPerRound;) {
-      if (!pages.contains(*at) && !batches_.shrink(machines_, *at, pages, constants::kBatchesPerRound)) {
+      if (!pages.contains(*at) && !batches_.shrinkBatch(machines_, *at, pages, constants::kBatchesPerRound)) {
         ++at;  // what has moved off it is written first
         continue;
       }
@@ -178,23 +178,23 @@
   planDue_ = true;
   const bool applied = outcome.verdict == state::Verdict::applied;
   if (applied)
-    for (const auto& [page, named] : pages) batches_.written(page, outcome.revision, named);
+    for (const auto& [page, named] : pages) batches_.setStored(page, outcome.revision, named);
   std::set<std::string> gangs;
   for (const std::string& host : hosts) {
     Machine* machine = machines_.find(host);
     if (machine == nullptr) continue;
-    machine->recordBusy = false;
+    machine->transactionInFlight = false;
     for (Attempt& attempt : machine->attempts) {
       if (attempt.phase != AttemptPhase::planned) continue;
       if (!attempt.batch || !pages.contains(*attempt.batch)) {
-        machine->recordBusy = true;  // a place of a gang whose turn is the next transaction
+        machine->transactionInFlight = true;  // a place of a gang whose turn is the next transaction
         continue;
       }
       if (attempt.gang) gangs.insert(attempt.task.job.text);
       // Stopped while it was being written, or on a machine that is being given up: never started, so free.
-      const bool wanted = !attempt.stopWanted && machine->phase == MachinePhase::up;
+      const bool wanted = !attempt.stopRequested && machine->phase == MachinePhase::up;
       if (applied && wanted) {
-        attempt.to(AttemptPhase::recorded, context_.now);
+        attempt.setPhase(AttemptPhase::recorded, context_.now);
         commands_.markDue(*machine);
         if (context_.logs(Level::debug))
           context_.event(Level::debug, "placed", {{"task", attempt.task.str()}, {"machine", host}});
@@ -226,8 +226,9 @@
   for (const auto& [host, machine] : machines_.all())
     if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
   for (auto& [host, machine] : machines_.all()) {
-    if (machine.phase != MachinePhase::decommissioning || machine.recordBusy || !fits(host)) continue;
-    machine.recordBusy = true;
+    if (machine.phase != MachinePhase::decommissioning || machine.transactionInFlight || !fits(host))
+      continue;
+    machine.transactionInFlight = true;
     names.push_back(host);
     retiring.push_back(host);
   }
@@ -243,9 +244,9 @@
                             for (const std::string& host : retiring) {
                               Machine* machine = machines_.find(host);
                               if (machine == nullptr) continue;
-                              machine->recordBusy = false;
+                              machine->transactionInFlight = false;
                               if (!applied) continue;
-                              machine->to(MachinePhase::terminating, context_.now);
+                              machine->setPhase(MachinePhase::terminating, context_.now);
                               cloud_->release(context_.now, host);
                             }
                             if (!applied) onTransactionRefused(outcome, "retiring");
--- a/src/service/leader_task_failures.cpp
+++ b/src/service/leader_task_failures.cpp
@@ -11,8 +11,9 @@
   jobs::Job* job = jobs_.find(ref);
   if (job == nullptr || !job->open()) return;
   const bool ran = attempt.runningSince != Time{};
-  job->failures.note(machine.host.text, ran ? context_.now - attempt.runningSince : wire::Duration{});
-  if (job->failures.jobAtFault() || (job->failures.widespread() && !succeedsElsewhere(ref, machine))) {
+  job->failures.recordFailure(machine.host.text,
+                              ran ? context_.now - attempt.runningSince : wire::Duration{});
+  if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // Failed wherever it went: a few of its tasks are tried ever more rarely, until its user cancels it.
     if (faultyJobs_.insert(ref).second) {
       context_.event(Level::info, "job_at_fault", {{"job", ref}});
@@ -20,16 +21,16 @@
     }
     return job->failures.attributeToJob(context_.now);
   }
-  ++machine.consecutiveErrors;
-  machine.failedJobs.insert(ref);
-  if (machine.consecutiveErrors >= constants::kSuspectErrors)
-    machine.suspectUntil = context_.now + constants::kSuspectPause;
+  ++machine.faults.consecutiveErrors;
+  machine.faults.failedJobs.insert(ref);
+  if (machine.faults.consecutiveErrors >= constants::kSuspectErrors)
+    machine.faults.suspectUntil = context_.now + constants::kSuspectPause;
 }
 
 // The machines on which the job failed are as good as any other.
 void Leader::clearMachineSuspicion(const std::string& ref) {
   for (auto& [host, machine] : machines_.all())
-    if (machine.failedJobs.erase(ref) > 0 && machine.failedJobs.empty()) machine.clearErrors();
+    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty()) machine.faults.clear();
 }
 
 // What is held to be at fault and then does well had bad luck with its machines.
@@ -64,7 +65,7 @@
       // Tasks of a gang run together with the one that failed: that they ran proves nothing.
       if (attempt.task.job.text != ref || attempt.gang) continue;
       if (attempt.phase == AttemptPhase::ended && attempt.cause == wire::Cause::done) return true;
-      if (attempt.onMachine() && context_.now - attempt.since > enough) return true;
+      if (attempt.isExecuting() && context_.now - attempt.phaseSince > enough) return true;
     }
   }
   return false;
@@ -73,17 +74,17 @@
 void Leader::quarantineIfFaulty(Machine& machine) {
   // A job that is itself wrong fails on every machine, a sick machine fails every job. What tells them apart
   // is how the same job does elsewhere, and failed tasks are always tried elsewhere first.
-  if (machine.consecutiveErrors < constants::kSuspectErrors || machine.quarantined) return;
+  if (machine.faults.consecutiveErrors < constants::kSuspectErrors || machine.faults.quarantined) return;
   bool allWrong = true;
-  for (const std::string& ref : machine.failedJobs) {
+  for (const std::string& ref : machine.faults.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
-      machine.quarantined = true;
+      machine.faults.quarantined = true;
       return drain(machine, "sick");
     }
     const jobs::Job* job = jobs_.find(ref);
-    if (job != nullptr && job->open() && job->failures.machines() < 2) allWrong = false;
+    if (job != nullptr && job->open() && job->failures.failedMachineCount() < 2) allWrong = false;
   }
-  if (allWrong) machine.clearErrors();
+  if (allWrong) machine.faults.clear();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -22,8 +22,8 @@
   const auto overdue = wire::seconds(settings_.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
   Count out;
   out.up = 1;
-  out.quiet = now - machine.lastHeartbeatAt > overdue ? 1 : 0;
-  out.indirect = out.quiet != 0 || now - machine.lastDirectContactAt > overdue ? 1 : 0;
+  out.quiet = now - machine.contact.lastHeartbeatAt > overdue ? 1 : 0;
+  out.indirect = out.quiet != 0 || now - machine.contact.lastDirectContactAt > overdue ? 1 : 0;
   out.heard = machine.sequence != 0 ? 1 : 0;
   return out;
 }
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -11,19 +11,19 @@
 
 void WorkerCommands::stop(Machine& machine, Attempt& attempt, double graceS) {
   if (attempt.phase == AttemptPhase::planned || attempt.phase == AttemptPhase::ended) {
-    attempt.stopWanted = true;
+    attempt.stopRequested = true;
     return;
   }
-  const bool harder = attempt.stopWanted && graceS < attempt.graceS;
-  if (attempt.stopWanted && !harder) return;
-  attempt.stopWanted = true;
+  const bool harder = attempt.stopRequested && graceS < attempt.graceS;
+  if (attempt.stopRequested && !harder) return;
+  attempt.stopRequested = true;
   attempt.graceS = graceS;
   attempt.stopSent = false;
   markDue(machine);
 }
 
 void WorkerCommands::markDue(Machine& machine) {
-  machine.commandsDue = true;
+  machine.directCommands.due = true;
   due_.insert(machine.host.text);
 }
 
@@ -31,18 +31,18 @@
   // Once is enough until the worker has been seen with it.
   if (machine.workerToken < fencingTokenOf(machine)) return;
   ++machine.fencingSequence;
-  machine.tokenAcknowledged = false;
-  machine.unacknowledgedSince = context_.now;
+  machine.contact.tokenAcknowledged = false;
+  machine.contact.unacknowledgedSince = context_.now;
 }
 
 void WorkerCommands::noteAcknowledgedToken(Machine& machine) {
-  if (machine.tokenAcknowledged || machine.workerToken < fencingTokenOf(machine)) {
-    if (!machine.tokenAcknowledged && machine.unacknowledgedSince == Time{})
-      machine.unacknowledgedSince = context_.now;
+  if (machine.contact.tokenAcknowledged || machine.workerToken < fencingTokenOf(machine)) {
+    if (!machine.contact.tokenAcknowledged && machine.contact.unacknowledgedSince == Time{})
+      machine.contact.unacknowledgedSince = context_.now;
     return;
   }
-  machine.tokenAcknowledged = true;
-  machine.unacknowledgedSince = Time{};
+  machine.contact.tokenAcknowledged = true;
+  machine.contact.unacknowledgedSince = Time{};
   hooks_.tokenAcknowledged();
 }
 
@@ -53,12 +53,12 @@
     wire::Command command{wire::CommandVerb::start, attempt.task, attempt.number, 0};
     switch (attempt.phase) {
       case AttemptPhase::planned:
-      case AttemptPhase::free:
+      case AttemptPhase::released:
         break;
       case AttemptPhase::recorded:
         // Never repeated for what may have ended and been forgotten under an earlier leader.
-        if (attempt.inherited && !attempt.stopWanted) break;
-        if (attempt.stopWanted) {
+        if (attempt.inherited && !attempt.stopRequested) break;
+        if (attempt.stopRequested) {
           command.verb = wire::CommandVerb::stop;
           rest.push_back(command);
         } else if (attempt.directCommandsInFlight == 0 && hooks_.holdsLeaderLease() &&
@@ -72,7 +72,7 @@
       case AttemptPhase::pulling:
       case AttemptPhase::running:
       case AttemptPhase::saving:
-        if (!attempt.stopWanted) break;
+        if (!attempt.stopRequested) break;
         if (attempt.stopSent && via == Source::direct) break;
         if (attempt.phase == AttemptPhase::saving && attempt.graceS > 0) break;
         command.verb = wire::CommandVerb::stop;
@@ -100,26 +100,26 @@
   // The rest waits for sockets: machines that don't answer hold theirs for up to the time limit.
   for (auto at = due_.begin(); at != due_.end() && mayCall();) {
     Machine* machine = machines_.find(*at);
-    if (machine != nullptr && machine->commandsDue &&
-        (machine->directCommandInFlight || context_.now < machine->nextDirectAt)) {
+    if (machine != nullptr && machine->directCommands.due &&
+        (machine->directCommands.inFlight || context_.now < machine->directCommands.nextAt)) {
       ++at;
       continue;
     }
-    if (machine != nullptr && machine->commandsDue) sendDirectCommand(*machine);
+    if (machine != nullptr && machine->directCommands.due) sendDirectCommand(*machine);
     at = due_.erase(at);
   }
 }
 
 void WorkerCommands::sendDirectCommand(Machine& machine) {
-  machine.commandsDue = false;
+  machine.directCommands.due = false;
   if (machine.endpoint.empty() || machine.incarnation == 0 || !hooks_.mayRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   const auto commands = commandsFor(machine, Source::direct, 0);
-  if (commands.empty() && (machine.tokenAcknowledged || !machine.probedUnheard)) return;
+  if (commands.empty() && (machine.contact.tokenAcknowledged || !machine.contact.takeoverProbeSent)) return;
   for (const wire::Command& command : commands)
     if (command.verb == wire::CommandVerb::start)
       ++machine.find(command.task, command.attempt)->directCommandsInFlight;
-  machine.directCommandInFlight = true;
+  machine.directCommands.inFlight = true;
   ++calls_;
   wire::Call call;
   call.to = wire::Service::worker;
@@ -145,7 +145,7 @@
                                            const wire::CallResult& result) {
   Machine* machine = machines_.find(host);
   if (machine == nullptr) return;
-  machine->directCommandInFlight = false;
+  machine->directCommands.inFlight = false;
   const bool answered = result.status != 0;
   for (const wire::Command& command : commands) {
     if (command.verb != wire::CommandVerb::start) continue;
@@ -160,10 +160,10 @@
     if (result.sent && token == fencingTokenOf(*machine)) {
       // Makes the command void once the worker has seen the higher token.
       ++machine->fencingSequence;
-      machine->tokenAcknowledged = false;
-      machine->unacknowledgedSince = context_.now;
+      machine->contact.tokenAcknowledged = false;
+      machine->contact.unacknowledgedSince = context_.now;
     }
-    machine->nextDirectAt = context_.now + constants::kWorkerTimeout;
+    machine->directCommands.nextAt = context_.now + constants::kWorkerTimeout;
     context_.event(Level::info, "no_answer", {{"machine", host}, {"sent", result.sent ? "yes" : "no"}});
     return;
   }
--- a/src/shares/share_account.cpp
+++ b/src/shares/share_account.cpp
@@ -77,11 +77,11 @@
 }
 
 Resources ShareAccount::unitOf(const machines::Attempt& attempt) const {
-  if (!attempt.gang) return attempt.each;
+  if (!attempt.gang) return attempt.resources;
   const JobStanding* standing = usage_.find(attempt.task.job.text);
   const double tasks = standing == nullptr ? 1 : standing->placed;
-  return Resources{attempt.each.vcpus * tasks, attempt.each.accelerators * tasks,
-                   attempt.each.memoryGb * tasks};
+  return Resources{attempt.resources.vcpus * tasks, attempt.resources.accelerators * tasks,
+                   attempt.resources.memoryGb * tasks};
 }
 
 bool ShareAccount::Trial::mayGive(const machines::Attempt& attempt) const {
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -14,7 +14,7 @@
 
 // Machines whose room is divided: what runs on others is about to end or to move.
 bool isCounted(const Machine& machine) {
-  return machine.phase == machines::MachinePhase::up && !machine.quarantined && !machine.spotNoticeAt;
+  return machine.phase == machines::MachinePhase::up && !machine.faults.quarantined && !machine.spotNoticeAt;
 }
 
 Resources times(const Resources& each, double count) {
@@ -43,7 +43,7 @@
       for (const Attempt& attempt : machine->attempts) {
         if (!attempt.holdsCapacity()) continue;
         if (const auto found = free_.find(attempt.team); found != free_.end())
-          found->second -= attempt.each.vcpus;
+          found->second -= attempt.resources.vcpus;
       }
     }
   }
@@ -66,7 +66,7 @@
 }  // namespace
 
 bool isLeaving(const Attempt& attempt) {
-  return attempt.stopWanted || attempt.phase == machines::AttemptPhase::saving;
+  return attempt.stopRequested || attempt.phase == machines::AttemptPhase::saving;
 }
 
 const JobStanding* UsageSnapshot::find(std::string_view ref) const {
@@ -96,7 +96,7 @@
       const auto found = usage.jobs.find(attempt.task.job.text);
       if (found == usage.jobs.end()) continue;
       ++found->second.placed;
-      usage.loads[found->second.group].running += attempt.each;
+      usage.loads[found->second.group].running += attempt.resources;
     }
   }
   TeamQuota capacity(settings, machines);
