--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -72,9 +72,9 @@
 
 void packInto(QueuedWork& queued, PendingInstance& instance) {
   const wire::JobSpec& spec = queued.unmet.job->spec;
-  if (!placement::allows(spec, instance.pool.machineType, instance.pool.zone, instance.pool.spot)) return;
+  if (!placement::isEligible(spec, instance.pool.machineType, instance.pool.zone, instance.pool.spot)) return;
   while (queued.unmet.tasks > 0 && spec.each.fitsIn(instance.free) &&
-         placement::zoneAllows(spec, queued.byZone, instance.pool.zone)) {
+         placement::zoneSpreadAllows(spec, queued.byZone, instance.pool.zone)) {
     instance.free -= spec.each;
     ++queued.byZone[instance.pool.zone];
     --queued.unmet.tasks;
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -57,7 +57,7 @@
 // Adds the queued work that pending instances don't cover to each pool that could take it.
 void addQueue(const FleetWorld& world, const std::vector<QueuedWork>& queue, PoolView& view) {
   for (const auto& [unmet, byZone] : queue) {
-    if (!placement::allows(unmet.job->spec, view.key.machineType, view.key.zone, view.key.spot)) continue;
+    if (!placement::isEligible(unmet.job->spec, view.key.machineType, view.key.zone, view.key.spot)) continue;
     view.queueWaitS = std::max(view.queueWaitS, wire::toSeconds(world.now - unmet.job->waitingSince));
     view.queuedTasks += static_cast<int>(unmet.tasks);
   }
--- a/src/fleet/unmet_work.cpp
+++ b/src/fleet/unmet_work.cpp
@@ -121,8 +121,8 @@
     const auto& [key, machineType] = pool;
     const wire::JobSpec& spec = queued.unmet.job->spec;
     if (world_.refused.contains(key) || (hasUncutZone_ && world_.cut.contains(key.zone))) return false;
-    if (!placement::allows(spec, key.machineType, key.zone, key.spot)) return false;
-    return placement::zoneAllows(spec, queued.byZone, key.zone) &&
+    if (!placement::isEligible(spec, key.machineType, key.zone, key.spot)) return false;
+    return placement::zoneSpreadAllows(spec, queued.byZone, key.zone) &&
            urgent(world_, *queued.unmet.job, machineType->bootS);
   }
 
--- /dev/null
+++ b/src/placement/bin.cpp
@@ -0,0 +1,57 @@
+// Bins of a placement round; see bin.hpp.
+#include "placement/bin.hpp"
+
+#include <algorithm>
+
+namespace reachhoist::placement {
+
+namespace {
+
+constexpr double kLeastCpus = 0.01;  // divisor for machines whose CPUs are not known
+
+// A task is retried on another machine than it failed on, unless the job itself is at fault.
+bool isAvoided(const Job& job, const Machine& machine) {
+  return !job.failures.jobAtFault() && job.failures.failedOn(machine.host.text);
+}
+
+}  // namespace
+
+wire::Resources Bin::capacityAfterStops() const {
+  wire::Resources out = freeCapacity;
+  out += leaving;
+  return out;
+}
+
+wire::Resources Bin::unpromisedCapacity() const {
+  wire::Resources out = capacityAfterStops();
+  out -= promised;
+  return out;
+}
+
+bool Bin::plansImage(const std::string& image) const {
+  return std::any_of(plannedImages.begin(), plannedImages.end(),
+                     [&](const std::string* planned) { return *planned == image; });
+}
+
+bool isUsable(const Bin& bin, const Job& job) {
+  const Machine& machine = *bin.machine;
+  return isEligible(job.spec, machine.machineType, machine.zone, machine.spot) && !isAvoided(job, machine);
+}
+
+double startDelayS(const Bin& bin, const Job& job) {
+  const Machine& machine = *bin.machine;
+  double seconds = 0;
+  if (!machine.hasImage(job.spec.image)) {
+    const double pullS = machine.pullSeconds(job.spec.sizeGb);
+    const bool shared = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
+    seconds += shared ? pullS * constants::kSharedFetchS : pullS;
+  }
+  if (job.spec.spot && !machine.spot) seconds += constants::kWrongKindS;
+  const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, kLeastCpus);
+  seconds +=
+      (job.spec.priority >= wire::Priority::high ? constants::kEmptyServiceS : constants::kEmptyArrayS) *
+      (1 - used);
+  return seconds;
+}
+
+}  // namespace reachhoist::placement
--- /dev/null
+++ b/src/placement/job_order.cpp
@@ -0,0 +1,44 @@
+// The order in which a placement round serves the waiting jobs; see job_order.hpp.
+#include "placement/job_order.hpp"
+
+#include <algorithm>
+
+#include "placement/slo.hpp"
+
+namespace reachhoist::placement {
+
+namespace {
+
+QueuedJob queue(const RoundState& state, Job& job) {
+  if (job.spec.priority >= wire::Priority::high) return QueuedJob{&job, JobTier::byPriority, 0};
+  const SloOutlook outlook = sloOutlook(job, state.input.settings, state.input.wallMs);
+  if (state.isWithinGuarantee(job.spec.ref.text))
+    return QueuedJob{&job, JobTier::guaranteed, outlook.latestStartMs};
+  const bool starved = (state.shareAccount && state.shareAccount->mustGoOn(job)) ||
+                       state.input.now - job.lastPlacedAt > constants::kOverlookedAfter;
+  if (starved) return QueuedJob{&job, JobTier::starved, job.acceptedMs};
+  const JobTier tier = outlook.reachable ? JobTier::sloReachable : JobTier::sloUnreachable;
+  return QueuedJob{&job, tier, outlook.latestStartMs};
+}
+
+bool isServedBefore(const QueuedJob& a, const QueuedJob& b) {
+  if (a.tier != b.tier) return a.tier < b.tier;
+  // A job that may preempt another by rank also goes before it. Otherwise the preempted job would take the
+  // freed capacity, round after round.
+  if (a.mayPreemptByRank() && a.job->spec.priority != b.job->spec.priority)
+    return a.job->spec.priority > b.job->spec.priority;
+  if (a.latestStartMs != b.latestStartMs) return a.latestStartMs < b.latestStartMs;
+  return a.job->acceptedMs < b.job->acceptedMs;
+}
+
+}  // namespace
+
+std::vector<QueuedJob> orderJobs(const RoundState& state) {
+  std::vector<QueuedJob> order;
+  order.reserve(state.input.waitingJobs.size());
+  for (Job* job : state.input.waitingJobs) order.push_back(queue(state, *job));
+  std::stable_sort(order.begin(), order.end(), isServedBefore);
+  return order;
+}
+
+}  // namespace reachhoist::placement
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -1,7 +1,8 @@
-// Which waiting task goes to which machine, and what may be stopped to make room. Decisions only: nothing
-// here changes jobs or machines.
+// Placement planning: which waiting task goes to which machine, and which attempts are preempted for others.
+// Decisions only: nothing here changes jobs or machines.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <string>
 #include <unordered_set>
@@ -16,67 +17,69 @@
 using machines::Machine;
 using wire::Time;
 
+// A task that is to start on a machine.
 struct Assignment {
   Job* job = nullptr;
-  std::uint32_t index = 0;
+  std::uint32_t index = 0;  // of the task
   Machine* machine = nullptr;
 };
 
-struct Stop {
+// An attempt that is to be stopped to free capacity for other work.
+struct Preemption {
   Machine* machine = nullptr;
   wire::TaskId task;
-  std::uint64_t attempt = 0;
-  double graceS = 0;
+  std::uint64_t attempt = 0;  // attempt number
+  double graceS = 0;          // time that the stop allows for a checkpoint
 };
 
-// Work that found no room: what sizing follows.
+// Tasks of a job for which there was no capacity; input to the sizing of the fleet.
 struct UnplacedDemand {
   const Job* job = nullptr;
   std::uint32_t tasks = 0;
 };
 
-struct Plan {
+// The decisions of one placement round.
+struct PlacementPlan {
   std::vector<Assignment> assignments;
-  std::vector<Stop> stops;
+  std::vector<Preemption> preemptions;
   std::vector<UnplacedDemand> unplaced;
-  bool triedSharePreemption = false;  // looked for work to stop for the sake of shares
-  std::size_t sharePreemptions = 0;   // of the stops, those for the sake of shares; a gang counts once
+  bool triedSharePreemption = false;  // the round looked for attempts to preempt for fair shares
+  std::size_t sharePreemptions = 0;   // of the preemptions, those for fair shares; a gang counts once
 };
 
-struct TeamUse {
-  double cpus = 0;
-  double gpus = 0;
-};
-
-struct World {
+// The input of one placement round. All that it points to must outlive the round and its plan.
+struct SchedulingInput {
   const config::Settings& settings;
   Time now{};
-  std::int64_t wallMs = 0;
-  std::vector<Job*> jobs;          // open ones with waiting tasks
-  std::vector<const Job*> open;    // all open ones
-  std::vector<Machine*> machines;  // all that are not gone
-  std::size_t maxJobs = 30;        // conditions left for jobs in one transaction
+  std::int64_t wallMs = 0;           // wall clock, milliseconds since the epoch
+  std::vector<Job*> waitingJobs;     // open jobs with waiting tasks
+  std::vector<const Job*> openJobs;  // all open jobs
+  std::vector<Machine*> machines;    // all that are not terminated
+  std::size_t maxJobs = 30;          // jobs that may get tasks: each is a condition of the transaction
   std::size_t maxTasks = constants::kTasksPerRound;
-  std::size_t maxStops = constants::kStopsPerRound;
-  const shares::Table* shares = nullptr;  // none: nothing is divided
-  bool mayPreemptForShares = false;       // whether this round may stop work for the sake of shares
+  std::size_t maxPreemptions = constants::kStopsPerRound;
+  const shares::Table* shares = nullptr;  // null: no fair shares
+  bool mayPreemptForShares = false;       // whether this round may preempt for fair shares
 };
 
-// Whether machines of this kind may run the job at all (its other tasks aside).
-bool allows(const wire::JobSpec& job, const std::string& machineType, const std::string& zone, bool spot);
+// Decides one placement round.
+PlacementPlan planPlacements(const SchedulingInput& input);
 
-Plan plan(const World& world);
+// Whether machines of this kind may run the job at all, whatever its other tasks do.
+bool isEligible(const wire::JobSpec& job, const std::string& machineType, const std::string& zone, bool spot);
 
-// Refs of the jobs within their team's guarantee: those that fit into it together with the team's earlier
-// unfinished jobs.
-std::unordered_set<std::string> guaranteedJobs(const config::Settings& settings,
-                                               const std::vector<const Job*>& open);
+// Whether one more task may go to the zone under the job's zone rules (`oneZone`, `apart`), given the number
+// of its placed tasks by zone.
+bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placed,
+                      const std::string& zone);
 
-// Which jobs are served first whatever the shares are: services and the like, and work within a guarantee.
-shares::RanksAbove ranksAboveShares(const config::Settings& settings, const std::vector<const Job*>& open);
+// References of the jobs within their team's guarantee: those that fit into it together with the team's
+// earlier unfinished jobs.
+std::unordered_set<std::string> guaranteedJobs(const config::Settings& settings,
+                                               const std::vector<const Job*>& openJobs);
 
-// Whether one more task may go to the zone (`oneZone`, `apart`), given those placed now.
-bool zoneAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placed,
-                const std::string& zone);
+// Which jobs are served before fair shares apply: those of high priority, and those within a guarantee.
+shares::RanksAbove ranksAboveShares(const config::Settings& settings,
+                                    const std::vector<const Job*>& openJobs);
 
 }  // namespace reachhoist::placement
--- /dev/null
+++ b/src/placement/round_state.cpp
@@ -0,0 +1,114 @@
+// The working state of one placement round; see round_state.hpp.
+#include "placement/round_state.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace reachhoist::placement {
+
+namespace {
+
+constexpr double kReachableSlackS = 0.5;  // of a heartbeat that is due
+
+bool hasQuota(const config::Team& team) {
+  return team.cpus > 0 || team.cpusMax > 0 || team.gpus > 0 || team.gpusMax > 0;
+}
+
+bool dependsOnZones(const Job& job) { return job.spec.apart || job.spec.oneZone; }
+
+}  // namespace
+
+RoundState::RoundState(const SchedulingInput& schedulingInput)
+    : input(schedulingInput), quotas(schedulingInput.settings) {
+  for (const Job* job : input.waitingJobs)
+    if (dependsOnZones(*job) || job->isGang()) zoneCounts[job->spec.ref.text];
+  const bool countZones = !zoneCounts.empty();
+  const bool countUsage = std::any_of(input.settings.teams.begin(), input.settings.teams.end(), hasQuota);
+  for (Machine* machine : input.machines) addMachine(*machine, countUsage, countZones);
+  anyTeamOverGuarantee = quotas.anyExceedsGuarantee();
+  guaranteedJobs = placement::guaranteedJobs(input.settings, input.openJobs);
+  if (input.shares != nullptr) openShareAccount();
+}
+
+void RoundState::addMachine(Machine& machine, bool countUsage, bool countZones) {
+  Bin bin{&machine, machine.total, wire::Priority::prod, false, {}, {}, false, {}};
+  const bool reachable = isReachable(machine);
+  for (const machines::Attempt& attempt : machine.attempts) {
+    if (!attempt.holdsCapacity()) continue;
+    bin.freeCapacity -= attempt.resources;
+    if (countUsage) quotas.add(attempt.team, attempt.resources);
+    if (countZones) {
+      const auto found = zoneCounts.find(attempt.task.job.text);
+      if (found != zoneCounts.end()) found->second[machine.zone] += 1;
+    }
+    if (shares::isLeaving(attempt)) bin.leaving += attempt.resources;
+    if (attempt.stopRequested) {
+      bin.hasStoppingAttempts = true;
+    } else {
+      bin.lowestPriority = std::min(bin.lowestPriority, attempt.priority);
+    }
+    if (attempt.gang && !reachable) unreachableGangs.insert(attempt.number);
+  }
+  anySpotMachine = anySpotMachine || machine.spot;
+  lowestPriority = std::min(lowestPriority, bin.lowestPriority);
+  if (takesWork(machine)) (machine.transactionInFlight ? busyBins : bins).push_back(std::move(bin));
+}
+
+void RoundState::openShareAccount() {
+  const auto ranksAbove = [this](const Job& job) {
+    return job.spec.priority >= wire::Priority::high || isWithinGuarantee(job.spec.ref.text);
+  };
+  shareAccount.emplace(
+      shares::takeUsageSnapshot(*input.shares, input.settings, input.machines, input.openJobs, ranksAbove),
+      input.settings.operators.shares.reclaimStep);
+}
+
+bool RoundState::takesWork(const Machine& machine) const {
+  if (machine.phase != machines::MachinePhase::up || machine.faults.quarantined) return false;
+  // Only machines with contact in both directions in this term take work. Records, late copies of heartbeats
+  // or contact in one direction are not enough.
+  if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > input.now) return false;
+  const auto overdue = wire::seconds(input.settings.heartbeatIntervalS * constants::kSilentHeartbeats);
+  return input.now - machine.contact.lastHeartbeatAt <= overdue && !machine.spotNoticeAt;
+}
+
+// Whether a command would arrive at once, by all that is known.
+bool RoundState::isReachable(const Machine& machine) const {
+  const auto overdue =
+      wire::seconds(input.settings.heartbeatIntervalS * constants::kQuietHeartbeats + kReachableSlackS);
+  return machine.contact.tokenAcknowledged && !machine.contact.unreachable &&
+         input.now - machine.contact.lastHeartbeatAt <= overdue;
+}
+
+bool RoundState::zoneAccepts(const Job& job, const std::string& zone) const {
+  if (!dependsOnZones(job)) return true;
+  const auto found = zoneCounts.find(job.spec.ref.text);
+  return found == zoneCounts.end() || zoneSpreadAllows(job.spec, found->second, zone);
+}
+
+void RoundState::countInZone(const Job& job, const std::string& zone) {
+  if (dependsOnZones(job)) zoneCounts[job.spec.ref.text][zone] += 1;
+}
+
+std::vector<std::string> RoundState::gangZones(const Job& job) const {
+  if (!job.spec.oneZone) return {""};
+  std::set<std::string> zones;
+  for (const Bin& bin : bins) zones.insert(bin.machine->zone);
+  return {zones.begin(), zones.end()};
+}
+
+void RoundState::assign(Bin& bin, Job& job, std::uint32_t index) {
+  bin.freeCapacity -= job.spec.each;
+  if (!bin.plansImage(job.spec.image)) bin.plannedImages.push_back(&job.spec.image);
+  countInZone(job, bin.machine->zone);
+  quotas.add(job.spec.team, job.spec.each);
+  if (shareAccount) shareAccount->take(job);
+  plan.assignments.push_back(Assignment{&job, index, bin.machine});
+}
+
+void RoundState::preempt(Machine& machine, const machines::Attempt& attempt) {
+  preemptedAttempts.insert(attempt.number);
+  plan.preemptions.push_back(Preemption{&machine, attempt.task, attempt.number, attempt.stopGraceS()});
+}
+
+}  // namespace reachhoist::placement
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -110,11 +110,11 @@
   // --- leader_scheduling.cpp: completions, placement, records
   void scheduleForgetCommands();
   void placementRound();
-  placement::Plan planRound();
+  placement::PlacementPlan planRound();
   // Whether work may be stopped for the sake of shares.
   bool mayPreemptForShares() const;
   // Takes the assignments for which the round's pages have room.
-  std::set<std::string> takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
+  std::set<std::string> takeAssignments(const placement::PlacementPlan& plan, std::set<std::uint32_t>& pages,
                                         std::set<std::string>& jobs);
   using BatchHosts = std::map<std::uint32_t, std::set<std::string>>;  // machines that each page names
   void onPlacements(const std::set<std::string>& hosts, const BatchHosts& pages,
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -38,34 +38,34 @@
   return out;
 }
 
-placement::Plan Leader::planRound() {
+placement::PlacementPlan Leader::planRound() {
   const std::size_t ops = context_.settings.stateTxnOps;
-  placement::World world{context_.settings,
-                         context_.now,
-                         context_.wallMs,
-                         {},
-                         {},
-                         {},
-                         4 * ops - constants::kBatchesPerRound - partitionRevisions_.size()};
+  placement::SchedulingInput world{context_.settings,
+                                   context_.now,
+                                   context_.wallMs,
+                                   {},
+                                   {},
+                                   {},
+                                   4 * ops - constants::kBatchesPerRound - partitionRevisions_.size()};
   for (const std::string& ref : jobs_.open()) {
     jobs::Job* job = jobs_.find(ref);
-    world.open.push_back(job);
-    if (job->waiting > 0) world.jobs.push_back(job);
+    world.openJobs.push_back(job);
+    if (job->waiting > 0) world.waitingJobs.push_back(job);
   }
   shares_.prepare(world, mayPreemptForShares());
-  if (world.jobs.empty()) {
+  if (world.waitingJobs.empty()) {
     unplaced_.clear();
     return {};
   }
   world.machines = allMachines();
-  placement::Plan plan = placement::plan(world);
+  placement::PlacementPlan plan = placement::planPlacements(world);
   shares_.planned(plan);
   unplaced_ = std::move(plan.unplaced);
   // What waits is looked at again when something has changed, or when time alone may have changed it.
-  nextPlan_ = context_.now + (plan.assignments.empty() && plan.stops.empty() ? constants::kIdleRoundGap
-                                                                             : constants::kRoundGap);
+  nextPlan_ = context_.now + (plan.assignments.empty() && plan.preemptions.empty() ? constants::kIdleRoundGap
+                                                                                   : constants::kRoundGap);
   replanAt_ = context_.now + constants::kReplanEvery;
-  for (const placement::Stop& command : plan.stops) {
+  for (const placement::Preemption& command : plan.preemptions) {
     if (Attempt* attempt = command.machine->find(command.task, command.attempt)) {
       context_.event(Level::info, "preempt",
                      {{"task", command.task.str()}, {"machine", command.machine->host.text}});
@@ -86,8 +86,8 @@
   return context_.now - actingSince_ >= settle && holdsLeaderLease();
 }
 
-std::set<std::string> Leader::takeAssignments(const placement::Plan& plan, std::set<std::uint32_t>& pages,
-                                              std::set<std::string>& jobs) {
+std::set<std::string> Leader::takeAssignments(const placement::PlacementPlan& plan,
+                                              std::set<std::uint32_t>& pages, std::set<std::string>& jobs) {
   std::set<std::string> hosts;
   if (plan.assignments.empty()) return hosts;
   batches_.recountBytes(machines_);
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -67,14 +67,14 @@
                        });
 }
 
-void SharesInRounds::prepare(placement::World& world, bool mayPreemptForShares) {
+void SharesInRounds::prepare(placement::SchedulingInput& world, bool mayPreemptForShares) {
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   world.shares = &*context_.shares;
   world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextReclaim_;
 }
 
-void SharesInRounds::planned(const placement::Plan& plan) {
+void SharesInRounds::planned(const placement::PlacementPlan& plan) {
   // Looking costs a walk over all machines: what could not be found now is not looked for in every round.
   if (plan.triedSharePreemption) nextReclaim_ = context_.now + constants::kReplanEvery;
   if (plan.sharePreemptions == 0) return;
--- a/src/service/shares.hpp
+++ b/src/service/shares.hpp
@@ -46,9 +46,9 @@
   explicit SharesInRounds(Context& context) : context_(context) {}
 
   // Before a round: the table, and whether the round may stop work for its sake.
-  void prepare(placement::World& world, bool mayPreemptForShares);
+  void prepare(placement::SchedulingInput& world, bool mayPreemptForShares);
   // After it.
-  void planned(const placement::Plan& plan);
+  void planned(const placement::PlacementPlan& plan);
   // A table is in force that no round has divided by.
   bool tableChanged() const { return context_.shares && context_.shares->generation != generation_; }
   // Writes the status now and then, if it has changed and the lead is confirmed.
