--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -1,4 +1,4 @@
-// Bound on how long placements take to follow a change of the fair-share table, from the settings.
+// Bound on the time of convergence; see convergence.hpp.
 #include "shares/convergence.hpp"
 
 #include <algorithm>
@@ -22,12 +22,13 @@
 double convergenceBoundS(const config::Settings& settings, const Move& move) {
   const double steps = static_cast<double>(reclaimSteps(settings, move));
   const double reclaimS = (steps - 1) * reclaimPauseS(settings);
-  // The last stop may miss its direct command and wait for a report; the end of the task is another report.
-  const double tellS = 2 * reportIntervalS(settings) + wire::toSeconds(constants::kWorkerTimeout);
+  // The last stop may miss its direct command and wait for a heartbeat; the end of the task is reported by
+  // another heartbeat.
+  const double commandS = 2 * reportIntervalS(settings) + wire::toSeconds(constants::kWorkerTimeout);
   const double placeS = move.placedPerS > 0 ? static_cast<double>(move.tasks) / move.placedPerS
                                             : wire::toSeconds(constants::kStateTimeout);
-  // The start of the task that follows is told in the same way.
-  return reclaimS + tellS + move.graceS + placeS + tellS + move.fetchS;
+  // The start of the next task is commanded in the same way.
+  return reclaimS + commandS + move.graceS + placeS + commandS + move.fetchS;
 }
 
 double convergenceBoundReports(const config::Settings& settings, const Move& move) {
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -1,4 +1,4 @@
-// The operators' table of fair-share groups and weights, and its stored form.
+// The fair-share table; see table.hpp.
 #include "shares/table.hpp"
 
 #include <algorithm>
@@ -67,7 +67,7 @@
   }
 }
 
-std::optional<Problem> checkRepeats(const std::vector<Share>& shares) {
+std::optional<Problem> checkDuplicates(const std::vector<Share>& shares) {
   std::set<Group> seen;
   for (const Share& share : shares)
     if (!seen.insert(share.group).second) return Problem{"group " + share.group.str(), "is named twice"};
@@ -78,11 +78,11 @@
 
 std::size_t Table::groupOf(const std::string& team, const std::string& jobClass) const {
   std::size_t best = shares.size();
-  int closest = 0;
+  int bestSpecificity = 0;
   for (std::size_t i = 0; i < shares.size(); ++i) {
     const Group& group = shares[i].group;
-    if (!group.holds(team, jobClass) || group.closeness() <= closest) continue;
-    closest = group.closeness();
+    if (!group.holds(team, jobClass) || group.closeness() <= bestSpecificity) continue;
+    bestSpecificity = group.closeness();
     best = i;
   }
   return best;
@@ -102,7 +102,7 @@
   if (table.shares.size() > constants::kShareGroupsMost)
     return Problem{"groups", "must be at most " + std::to_string(constants::kShareGroupsMost)};
   if (auto problem = checkWeight("others", table.othersWeight)) return problem;
-  if (auto problem = checkRepeats(table.shares)) return problem;
+  if (auto problem = checkDuplicates(table.shares)) return problem;
   for (const Share& share : table.shares) {
     if (auto problem = checkGroup(share.group, settings)) return problem;
     if (auto problem = checkWeight("group " + share.group.str() + " weight", share.weight)) return problem;
@@ -168,32 +168,32 @@
 }
 
 ChangeOutcome apply(const Change& change, const config::Settings& settings, Table& table) {
-  const auto refuse = [&](ChangeVerdict verdict, Problem problem) {
+  const auto reject = [&](ChangeVerdict verdict, Problem problem) {
     return ChangeOutcome{verdict, table.generation, std::move(problem)};
   };
   if (change.requestId.empty() || change.requestId.size() > constants::kShareRequestIdMost)
-    return refuse(
+    return reject(
         ChangeVerdict::invalid,
         {"request_id", "must be text of 1 to " + std::to_string(constants::kShareRequestIdMost) + " bytes"});
   for (const AppliedRequest& request : table.requests)
     if (request.id == change.requestId) return {ChangeVerdict::repeated, request.generation, {}};
   if (change.expectedGeneration && *change.expectedGeneration != table.generation)
-    return refuse(ChangeVerdict::staleGeneration,
+    return reject(ChangeVerdict::staleGeneration,
                   {"generation", "is " + std::to_string(table.generation) + " and not " +
                                      std::to_string(*change.expectedGeneration)});
-  if (auto problem = checkRepeats(change.set)) return refuse(ChangeVerdict::invalid, *problem);
+  if (auto problem = checkDuplicates(change.set)) return reject(ChangeVerdict::invalid, *problem);
   Table next = table;
   if (change.replace) next.shares.clear();
   for (const Share& share : change.set) setShare(next, share);
   for (const Group& group : change.remove) {
     if (std::erase_if(next.shares, [&](const Share& share) { return share.group == group; }) == 0)
-      return refuse(ChangeVerdict::invalid, {"group " + group.str(), "is not in the table"});
+      return reject(ChangeVerdict::invalid, {"group " + group.str(), "is not in the table"});
   }
   if (change.othersWeight) next.othersWeight = *change.othersWeight;
   ++next.generation;
   next.requests.push_back(AppliedRequest{change.requestId, next.generation});
   if (next.requests.size() > constants::kShareRequestsKept) next.requests.erase(next.requests.begin());
-  if (auto problem = check(next, settings)) return refuse(ChangeVerdict::invalid, *problem);
+  if (auto problem = check(next, settings)) return reject(ChangeVerdict::invalid, *problem);
   table = std::move(next);
   return {ChangeVerdict::changed, table.generation, {}};
 }
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -12,7 +12,10 @@
 using machines::Attempt;
 using machines::Machine;
 
-// Machines whose room is divided: what runs on others is about to end or to move.
+constexpr double kLeastCpus = 0.01;      // divisor for tasks that ask for no CPUs
+constexpr double kQuotaRounding = 1e-6;  // tasks; quotients of fractions are not exact
+
+// Machines whose capacity is divided. Work on the others is about to end or to be moved.
 bool isCounted(const Machine& machine) {
   return machine.phase == machines::MachinePhase::up && !machine.faults.quarantined && !machine.spotNoticeAt;
 }
@@ -21,18 +24,18 @@
   return Resources{each.vcpus * count, each.accelerators * count, each.memoryGb * count};
 }
 
-// What no machine that is up could ever hold is asked of sizing, and can't be divided.
+// Whether the machines that are up have the resources at all. What they cannot run only counts for sizing.
 bool isServable(const Resources& each, const Resources& capacity) {
   return (each.vcpus <= 0 || capacity.vcpus > 0) && (each.accelerators <= 0 || capacity.accelerators > 0) &&
          (each.memoryGb <= 0 || capacity.memoryGb > 0);
 }
 
-// Arrays of one task have nothing to go on with: they wait like any work.
-bool isBegunArray(const jobs::Job& job, std::uint32_t placed) {
+// Arrays of one task have no further tasks to keep running: they wait like any other job.
+bool isStartedArray(const jobs::Job& job, std::uint32_t placed) {
   return job.spec.kind == wire::JobKind::array && job.spec.taskCount > 1 && (placed > 0 || job.completed > 0);
 }
 
-// CPUs that each team's limit leaves.
+// CPUs that each team's limit leaves free.
 class TeamQuota {
  public:
   TeamQuota(const config::Settings& settings, const std::vector<Machine*>& machines) {
@@ -48,11 +51,12 @@
     }
   }
 
-  // How many more tasks of the job the limit lets start; what is granted is not granted again.
+  // Of so many tasks of the job, those that the limit lets start. Their CPUs are not free any more.
   double take(const jobs::Job& job, double tasks) {
     const auto found = free_.find(job.spec.team);
     if (found == free_.end()) return tasks;
-    double fit = std::floor(std::max(0.0, found->second) / std::max(job.spec.each.vcpus, 0.01) + 1e-6);
+    double fit =
+        std::floor(std::max(0.0, found->second) / std::max(job.spec.each.vcpus, kLeastCpus) + kQuotaRounding);
     if (job.isGang() && fit < tasks) fit = 0;
     fit = std::min(fit, tasks);
     found->second -= fit * job.spec.each.vcpus;
@@ -63,6 +67,38 @@
   std::map<std::string, double, std::less<>> free_;
 };
 
+// Adds the machine's capacity and what runs on it.
+void addRunning(const Machine& machine, UsageSnapshot& usage) {
+  usage.capacity += machine.total;
+  for (const Attempt& attempt : machine.attempts) {
+    if (!attempt.holdsCapacity() || isLeaving(attempt)) continue;
+    const auto found = usage.jobs.find(attempt.task.job.text);
+    if (found == usage.jobs.end()) continue;
+    ++found->second.placed;
+    usage.loads[found->second.group].running += attempt.resources;
+  }
+}
+
+// Adds what the job runs and waits for to its group's demand. The capacity must be complete.
+void addDemand(const jobs::Job& job, TeamQuota& quota, UsageSnapshot& usage) {
+  JobStanding& standing = usage.jobs.at(job.spec.ref.text);
+  GroupLoad& load = usage.loads[standing.group];
+  const bool counts = !job.failures.jobAtFault() && isServable(job.spec.each, usage.capacity);
+  const double waiting = counts ? quota.take(job, job.waiting) : 0;
+  const Resources demand = times(job.spec.each, standing.placed + waiting);
+  load.demand += demand;
+  if (standing.placed + waiting > 0) {
+    const Resources unit = times(job.spec.each, job.isGang() ? job.spec.taskCount : 1);
+    usage.units[standing.group] = std::max(usage.units[standing.group], dominantShare(unit, usage.capacity));
+  }
+  if (standing.fixed) {
+    load.fixed += demand;
+  } else if (isStartedArray(job, standing.placed) && standing.placed + waiting > 0) {
+    standing.keepsOne = true;
+    load.fixed += job.spec.each;
+  }
+}
+
 }  // namespace
 
 bool isLeaving(const Attempt& attempt) {
@@ -88,37 +124,10 @@
     standing.fixed = ranksAbove(*job);
     usage.jobs[job->spec.ref.text] = standing;
   }
-  for (const Machine* machine : machines) {
-    if (!isCounted(*machine)) continue;
-    usage.capacity += machine->total;
-    for (const Attempt& attempt : machine->attempts) {
-      if (!attempt.holdsCapacity() || isLeaving(attempt)) continue;
-      const auto found = usage.jobs.find(attempt.task.job.text);
-      if (found == usage.jobs.end()) continue;
-      ++found->second.placed;
-      usage.loads[found->second.group].running += attempt.resources;
-    }
-  }
-  TeamQuota capacity(settings, machines);
-  for (const jobs::Job* job : open) {
-    JobStanding& standing = usage.jobs.at(job->spec.ref.text);
-    GroupLoad& load = usage.loads[standing.group];
-    const bool waits = !job->failures.jobAtFault() && isServable(job->spec.each, usage.capacity);
-    const double waiting = waits ? capacity.take(*job, job->waiting) : 0;
-    const Resources asked = times(job->spec.each, standing.placed + waiting);
-    load.demand += asked;
-    if (standing.placed + waiting > 0) {
-      const Resources unit = times(job->spec.each, job->isGang() ? job->spec.taskCount : 1);
-      usage.units[standing.group] =
-          std::max(usage.units[standing.group], dominantShare(unit, usage.capacity));
-    }
-    if (standing.fixed) {
-      load.fixed += asked;
-    } else if (isBegunArray(*job, standing.placed) && standing.placed + waiting > 0) {
-      standing.keepsOne = true;
-      load.fixed += job->spec.each;
-    }
-  }
+  for (const Machine* machine : machines)
+    if (isCounted(*machine)) addRunning(*machine, usage);
+  TeamQuota quota(settings, machines);
+  for (const jobs::Job* job : open) addDemand(*job, quota, usage);
   return usage;
 }
 
