--- a/src/placement/gang_preemptor.cpp
+++ b/src/placement/gang_preemptor.cpp
@@ -22,7 +22,7 @@
   const bool entitled = state_.shareAccount && state_.shareAccount->mayClaim(job);
   if (entitled) state_.entitledJobs.push_back(&job);
   const Claim claim{state_.isWithinGuarantee(job.spec.ref.text),
-                    entitled && state_.input.mayPreemptForShares && state_.shareAccount->withinStep()};
+                    entitled && state_.input.mayPreemptForShares && state_.shareAccount->withinReclaimStep()};
   if (!mayPreemptAnyByRank(state_, job) && !claim.forShare) return;
   std::vector<Option> best;
   double bestCostS = std::numeric_limits<double>::max();
@@ -90,12 +90,12 @@
   for (const Option& option : options)
     for (const auto* victim : option.victims)
       if (!mayPreemptByRank(state_, job, claim.guaranteed, *victim)) victims.push_back(victim);
-  shares::ShareAccount::Trial trial(*state_.shareAccount);
+  shares::ShareAccount::ReclaimTrial trial(*state_.shareAccount);
   for (const auto* victim : victims) {
-    if (!trial.mayGive(*victim)) return false;
-    trial.give(*victim);
+    if (!trial.mayReclaim(*victim)) return false;
+    trial.reclaim(*victim);
   }
-  for (const auto* victim : victims) state_.shareAccount->give(*victim);
+  for (const auto* victim : victims) state_.shareAccount->reclaim(*victim);
   state_.plan.sharePreemptions += victims.size();
   state_.shareAccount->claim(job);
   return true;
--- a/src/placement/job_order.cpp
+++ b/src/placement/job_order.cpp
@@ -14,7 +14,7 @@
   const SloOutlook outlook = sloOutlook(job, state.input.settings, state.input.wallMs);
   if (state.isWithinGuarantee(job.spec.ref.text))
     return QueuedJob{&job, JobTier::guaranteed, outlook.latestStartMs};
-  const bool starved = (state.shareAccount && state.shareAccount->mustGoOn(job)) ||
+  const bool starved = (state.shareAccount && state.shareAccount->mustKeepRunning(job)) ||
                        state.input.now - job.lastPlacedAt > constants::kOverlookedAfter;
   if (starved) return QueuedJob{&job, JobTier::starved, job.acceptedMs};
   const JobTier tier = outlook.reachable ? JobTier::sloReachable : JobTier::sloUnreachable;
--- a/src/placement/preemption_rules.cpp
+++ b/src/placement/preemption_rules.cpp
@@ -35,7 +35,7 @@
 
 bool mayPreemptForShare(const RoundState& state, const Job& job, const machines::Attempt& attempt) {
   return isPreemptible(attempt) && !state.isPreempted(attempt) && attempt.priority <= job.spec.priority &&
-         state.shareAccount->mayGive(attempt);
+         state.shareAccount->mayReclaim(attempt);
 }
 
 double lostWorkS(const RoundState& state, const machines::Attempt& attempt) {
--- a/src/placement/rank_preemptor.cpp
+++ b/src/placement/rank_preemptor.cpp
@@ -55,7 +55,7 @@
 void RankPreemptor::preempt(const Job& job, const Candidate& candidate) {
   Bin& bin = *candidate.bin;
   for (const auto* victim : candidate.victims) {
-    if (state_.shareAccount) state_.shareAccount->leave(*victim);
+    if (state_.shareAccount) state_.shareAccount->release(*victim);
     bin.freeCapacity += victim->resources;
     state_.preempt(*bin.machine, *victim);
   }
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -102,7 +102,7 @@
   if (!bin.plansImage(job.spec.image)) bin.plannedImages.push_back(&job.spec.image);
   countInZone(job, bin.machine->zone);
   quotas.add(job.spec.team, job.spec.each);
-  if (shareAccount) shareAccount->take(job);
+  if (shareAccount) shareAccount->start(job);
   plan.assignments.push_back(Assignment{&job, index, bin.machine});
 }
 
--- a/src/placement/round_state.hpp
+++ b/src/placement/round_state.hpp
@@ -26,7 +26,7 @@
   // Whether the job fits into its team's guarantee.
   bool isWithinGuarantee(const std::string& ref) const { return guaranteedJobs.contains(ref); }
   // Whether fair shares let another task of the job, or its whole gang, start now.
-  bool isWithinShare(const Job& job) const { return !shareAccount || shareAccount->mayTake(job); }
+  bool isWithinShare(const Job& job) const { return !shareAccount || shareAccount->mayStart(job); }
   // Whether the transaction has a condition left for another job.
   bool mayPlaceAnotherJob() const { return placedJobs < input.maxJobs; }
   // Whether one more task of the job may go to the zone.
--- a/src/placement/share_preemptor.cpp
+++ b/src/placement/share_preemptor.cpp
@@ -10,13 +10,13 @@
 
 void SharePreemptor::preemptFor(const Job& job, std::uint32_t tasks, std::uint32_t covered) {
   claim(job, covered);
-  if (!state_.mayPlaceAnotherJob() || !state_.shareAccount->mayTake(job)) return;
+  if (!state_.mayPlaceAnotherJob() || !state_.shareAccount->mayStart(job)) return;
   state_.entitledJobs.push_back(&job);
   const std::uint32_t pending = promisePendingCapacity(state_, job, tasks - std::min(covered, tasks));
   claim(job, pending);
   covered += pending;
   if (!state_.input.mayPreemptForShares || covered >= tasks || !mayPreemptMore(job)) return;
-  if (!state_.shareAccount->anyAbove() || foundNoVictimsBefore(job)) return;
+  if (!state_.shareAccount->anyGroupAboveEntitlement() || foundNoVictimsBefore(job)) return;
   state_.plan.triedSharePreemption = true;
   std::vector<Candidate> candidates = findCandidates(job);
   const bool anywhere = !job.spec.machineTypes && !job.spec.zone && !job.spec.oneZone && !job.spec.apart;
@@ -30,7 +30,7 @@
 }
 
 bool SharePreemptor::mayPreemptMore(const Job& job) const {
-  return state_.shareAccount->withinStep() && state_.shareAccount->mayClaim(job);
+  return state_.shareAccount->withinReclaimStep() && state_.shareAccount->mayClaim(job);
 }
 
 std::vector<SharePreemptor::Candidate> SharePreemptor::findCandidates(const Job& job) const {
@@ -78,11 +78,11 @@
             [this](const auto* a, const auto* b) { return lostWorkS(state_, *a) < lostWorkS(state_, *b); });
   Candidate candidate{machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.sizeGb), at, {}};
   wire::Resources capacity = bin.unpromisedCapacity();
-  shares::ShareAccount::Trial trial(*state_.shareAccount);
+  shares::ShareAccount::ReclaimTrial trial(*state_.shareAccount);
   for (const auto* victim : ranked) {
     if (job.spec.each.fitsIn(capacity)) break;
-    if (!trial.mayGive(*victim)) continue;
-    trial.give(*victim);
+    if (!trial.mayReclaim(*victim)) continue;
+    trial.reclaim(*victim);
     capacity += victim->resources;
     candidate.costS += preemptionCostS(state_, *victim);
     candidate.victims.push_back(victim);
@@ -94,7 +94,7 @@
 void SharePreemptor::preempt(const Job& job, const Candidate& candidate) {
   Bin& bin = state_.bins[candidate.bin];
   for (const auto* victim : candidate.victims) {
-    state_.shareAccount->give(*victim);
+    state_.shareAccount->reclaim(*victim);
     bin.leaving += victim->resources;
     bin.hasStoppingAttempts = true;
     state_.preempt(*bin.machine, *victim);
--- a/src/shares/share_account.cpp
+++ b/src/shares/share_account.cpp
@@ -1,4 +1,4 @@
-// Per-round fair-share accounting: what each group may still take, and what preemption may take back.
+// Per-round fair-share accounting; see share_account.hpp.
 #include "shares/share_account.hpp"
 
 #include <utility>
@@ -22,33 +22,33 @@
 
 }  // namespace
 
-ShareAccount::ShareAccount(UsageSnapshot usage, double step)
+ShareAccount::ShareAccount(UsageSnapshot usage, double reclaimStep)
     : usage_(std::move(usage)),
       shares_(allocateFairShares(usage_.capacity, usage_.loads)),
-      claimed_(usage_.loads.size()),
-      step_(step) {}
+      claimedCapacity_(usage_.loads.size()),
+      reclaimStep_(reclaimStep) {}
 
-const JobStanding* ShareAccount::governed(std::string_view ref) const {
+const JobStanding* ShareAccount::findGoverned(std::string_view ref) const {
   const JobStanding* standing = usage_.find(ref);
   return standing == nullptr || standing->fixed ? nullptr : standing;
 }
 
-bool ShareAccount::mayTake(const jobs::Job& job) const {
-  const JobStanding* standing = governed(job.spec.ref.text);
+bool ShareAccount::mayStart(const jobs::Job& job) const {
+  const JobStanding* standing = findGoverned(job.spec.ref.text);
   if (standing == nullptr) return true;
-  if (mustGoOn(job)) return true;
+  if (mustKeepRunning(job)) return true;
   const GroupShare& share = shares_[standing->group];
   if (share.granted()) return true;
   return dominantShare(usage_.loads[standing->group].running, usage_.capacity) < share.entitled - kEpsilon;
 }
 
-bool ShareAccount::mustGoOn(const jobs::Job& job) const {
-  const JobStanding* standing = governed(job.spec.ref.text);
+bool ShareAccount::mustKeepRunning(const jobs::Job& job) const {
+  const JobStanding* standing = findGoverned(job.spec.ref.text);
   return standing != nullptr && standing->keepsOne && standing->placed == 0 &&
          !shares_[standing->group].granted();
 }
 
-void ShareAccount::take(const jobs::Job& job, std::uint32_t tasks) {
+void ShareAccount::start(const jobs::Job& job, std::uint32_t tasks) {
   const auto found = usage_.jobs.find(job.spec.ref.text);
   if (found == usage_.jobs.end()) return;
   found->second.placed += tasks;
@@ -56,19 +56,19 @@
 }
 
 bool ShareAccount::mayClaim(const jobs::Job& job) const {
-  const JobStanding* standing = governed(job.spec.ref.text);
+  const JobStanding* standing = findGoverned(job.spec.ref.text);
   if (standing == nullptr) return false;
   const std::size_t group = standing->group;
-  const Resources running = sum(usage_.loads[group].running, claimed_[group]);
+  const Resources running = sum(usage_.loads[group].running, claimedCapacity_[group]);
   return dominantShare(running, usage_.capacity) < shares_[group].entitled - kEpsilon;
 }
 
 void ShareAccount::claim(const jobs::Job& job) {
-  if (const JobStanding* standing = governed(job.spec.ref.text); standing != nullptr)
-    claimed_[standing->group] += shares::unitOf(job);
+  if (const JobStanding* standing = findGoverned(job.spec.ref.text); standing != nullptr)
+    claimedCapacity_[standing->group] += shares::unitOf(job);
 }
 
-bool ShareAccount::anyAbove() const {
+bool ShareAccount::anyGroupAboveEntitlement() const {
   for (std::size_t group = 0; group < shares_.size(); ++group)
     if (!shares_[group].granted() &&
         dominantShare(usage_.loads[group].running, usage_.capacity) > shares_[group].entitled + kEpsilon)
@@ -84,9 +84,9 @@
                    attempt.resources.memoryGb * tasks};
 }
 
-bool ShareAccount::Trial::mayGive(const machines::Attempt& attempt) const {
-  const JobStanding* standing = shareAccount_.governed(attempt.task.job.text);
-  if (standing == nullptr || isLeaving(attempt) || shareAccount_.gangs_.contains(attempt.number))
+bool ShareAccount::ReclaimTrial::mayReclaim(const machines::Attempt& attempt) const {
+  const JobStanding* standing = shareAccount_.findGoverned(attempt.task.job.text);
+  if (standing == nullptr || isLeaving(attempt) || shareAccount_.stoppedGangs_.contains(attempt.number))
     return false;
   const std::size_t group = standing->group;
   const GroupShare& share = shareAccount_.shares_[group];
@@ -95,32 +95,32 @@
   Resources rest = shareAccount_.usage_.loads[group].running;
   rest -= unit;
   std::uint32_t placed = standing->placed;
-  for (const Given& given : given_) {
-    if (given.gang && given.number == attempt.number) return false;
-    if (given.job == attempt.task.job.text) --placed;
-    if (given.group == group) rest -= given.unit;
+  for (const ReclaimedAttempt& reclaimed : reclaimedAttempts_) {
+    if (reclaimed.gang && reclaimed.number == attempt.number) return false;
+    if (reclaimed.job == attempt.task.job.text) --placed;
+    if (reclaimed.group == group) rest -= reclaimed.unit;
   }
   if (standing->keepsOne && placed <= 1) return false;
   return dominantShare(rest, shareAccount_.usage_.capacity) >= share.entitled - kEpsilon;
 }
 
-void ShareAccount::Trial::give(const machines::Attempt& attempt) {
-  if (const JobStanding* standing = shareAccount_.governed(attempt.task.job.text); standing != nullptr)
-    given_.push_back(Given{attempt.task.job.text, attempt.number, standing->group, attempt.gang,
-                           shareAccount_.unitOf(attempt)});
+void ShareAccount::ReclaimTrial::reclaim(const machines::Attempt& attempt) {
+  if (const JobStanding* standing = shareAccount_.findGoverned(attempt.task.job.text); standing != nullptr)
+    reclaimedAttempts_.push_back(ReclaimedAttempt{attempt.task.job.text, attempt.number, standing->group,
+                                                  attempt.gang, shareAccount_.unitOf(attempt)});
 }
 
-void ShareAccount::leave(const machines::Attempt& attempt) {
+void ShareAccount::release(const machines::Attempt& attempt) {
   const auto found = usage_.jobs.find(attempt.task.job.text);
   if (found == usage_.jobs.end()) return;
-  if (attempt.gang && !gangs_.insert(attempt.number).second) return;
+  if (attempt.gang && !stoppedGangs_.insert(attempt.number).second) return;
   usage_.loads[found->second.group].running -= unitOf(attempt);
   found->second.placed = attempt.gang || found->second.placed == 0 ? 0 : found->second.placed - 1;
 }
 
-void ShareAccount::give(const machines::Attempt& attempt) {
-  reclaimed_ += dominantShare(unitOf(attempt), usage_.capacity);
-  leave(attempt);
+void ShareAccount::reclaim(const machines::Attempt& attempt) {
+  reclaimedShare_ += dominantShare(unitOf(attempt), usage_.capacity);
+  release(attempt);
 }
 
 }  // namespace reachhoist::shares
