--- a/src/fleet/unmet_work.cpp
+++ b/src/fleet/unmet_work.cpp
@@ -32,8 +32,8 @@
   // Capacity that frees up by itself comes in pieces.
   if (job.isGang()) return true;
   if (job.spec.dueS) {
-    const double slackS =
-        static_cast<double>(job.dueMs() - world.wallMs) / 1000.0 - job.spec.expectS - kBootReserve * bootS;
+    const double slackS = static_cast<double>(job.deadlineMs() - world.wallMs) / 1000.0 - job.spec.expectS -
+                          kBootReserve * bootS;
     if (slackS < kWaitForFreedCapacityS) return true;
   }
   return wire::toSeconds(world.now - job.waitingSince) >= kWaitForFreedCapacityS;
@@ -121,8 +121,8 @@
     const auto& [key, machineType] = pool;
     const wire::JobSpec& spec = queued.unmet.job->spec;
     if (world_.refused.contains(key) || (hasUncutZone_ && world_.cut.contains(key.zone))) return false;
-    if (!placement::allows(spec, key.machineType, key.zone, key.spot)) return false;
-    return placement::zoneAllows(spec, queued.byZone, key.zone) &&
+    if (!placement::isEligible(spec, key.machineType, key.zone, key.spot)) return false;
+    return placement::zoneSpreadAllows(spec, queued.byZone, key.zone) &&
            urgent(world_, *queued.unmet.job, machineType->bootS);
   }
 
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -21,16 +21,15 @@
 using wire::Json;
 using wire::Time;
 
-
 // Log levels, most important first.
 enum class Level { error, info, debug };
 
 // An HTTP response to one request of a user or worker.
 struct Reply {
-  std::uint64_t request = 0;                      // number of the request, as given in Request
+  std::uint64_t request = 0;               // number of the request, as given in Request
   int status = http::kServiceUnavailable;  // HTTP status
-  Json body;                                      // null: no body
-  std::optional<int> retryAfterS;                 // Retry-After header in seconds
+  Json body;                               // null: no body
+  std::optional<int> retryAfterS;          // Retry-After header in seconds
 };
 
 // A message to one sibling.
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -8,8 +8,6 @@
 
 namespace {
 
-
-
 using Catalog = std::vector<wire::MachineType>;
 
 constexpr double kRoundingSlack = 1e-6;  // vCPUs or accelerators, for sums of fractions
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -40,8 +40,7 @@
 void JobApi::submit(std::uint64_t request, const std::string& body) {
   const auto decoded = wire::decodeBody(body);
   if (!decoded || !decoded->is_object())
-    return context_.replyError(request, http::kBadRequest,
-                               decoded ? "body is not a map" : decoded.reason());
+    return context_.replyError(request, http::kBadRequest, decoded ? "body is not a map" : decoded.reason());
   const std::string ref = wire::textField(*decoded, "ref").value_or("");
   auto spec = wire::decodeJob(*decoded);
   if (!wire::validJobRef(ref)) return context_.replyError(request, http::kBadRequest, spec.reason());
@@ -71,8 +70,7 @@
 
 void JobApi::tryAbort(const Abort& abort) {
   const jobs::Job* job = jobs_.find(abort.ref);
-  if (job != nullptr && !job->open())
-    return context_.reply(abort.request, http::kOk, jobSummary(*job));
+  if (job != nullptr && !job->open()) return context_.reply(abort.request, http::kOk, jobSummary(*job));
   if (abort.attemptsLeft == 0) return context_.later(abort.request);
   if (job == nullptr) return retryAbort(abort);
   state::Transaction transaction;
--- a/src/service/job_progress.cpp
+++ b/src/service/job_progress.cpp
@@ -31,7 +31,7 @@
   for (const peer::JobProgress& received : progress.jobs) {
     jobs::Job* job = jobs_.find(received.ref);
     if (job == nullptr || !job->open()) continue;
-    job->displayedDone = received.done;
+    job->displayedCompleted = received.done;
     job->displayedRunning = received.running;
   }
 }
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -4,7 +4,7 @@
 
 Json jobStatus(const jobs::Job& job) {
   // Only the leader tracks single tasks; the others show what it last sent them.
-  std::uint32_t done = job.tasks.empty() ? job.displayedDone : job.completed;
+  std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completed;
   std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.running;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
   if (!job.open()) running = 0;
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -41,9 +41,9 @@
 void Leader::resumed(wire::Duration away) {
   // Nothing was heard because nobody listened. Leases that were renewed before have run on, though.
   for (auto& [host, machine] : state_.machines.all()) {
-    machine.lastHeartbeatAt += away;
-    machine.lastDirectContactAt += away;
-    if (machine.unacknowledgedSince != Time{}) machine.unacknowledgedSince += away;
+    machine.contact.lastHeartbeatAt += away;
+    machine.contact.lastDirectContactAt += away;
+    if (machine.contact.unacknowledgedSince != Time{}) machine.contact.unacknowledgedSince += away;
   }
   partitions_.reset();
 }
--- a/src/service/leader/attempt_fields.cpp
+++ b/src/service/leader/attempt_fields.cpp
@@ -3,7 +3,7 @@
 namespace reachhoist::service {
 
 void setResourceFields(machines::Attempt& attempt, const wire::JobSpec& spec) {
-  attempt.each = spec.each;
+  attempt.resources = spec.each;
   attempt.team = spec.team;
 }
 
@@ -14,7 +14,7 @@
   attempt.priority = spec.priority;
   attempt.isService = spec.kind == wire::JobKind::service;
   attempt.gang = job.isGang();
-  attempt.saves = spec.checkpointEveryS > 0;
+  attempt.canCheckpoint = spec.checkpointEveryS > 0;
   attempt.checkpointS = spec.checkpointS;
 }
 
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -5,9 +5,9 @@
 namespace reachhoist::service {
 
 void AttemptTracker::setPhase(Attempt& attempt, AttemptPhase next) {
-  const bool wasRunning = attempt.onMachine();
-  attempt.to(next, context_.now);
-  const bool isRunning = attempt.onMachine();
+  const bool wasRunning = attempt.isExecuting();
+  attempt.setPhase(next, context_.now);
+  const bool isRunning = attempt.isExecuting();
   if (wasRunning == isRunning) return;
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || job->tasks.empty()) return;
@@ -47,7 +47,7 @@
                     {"machine", machine.host.text},
                     {"after_s", wire::toSeconds(context_.now - attempt.placedAt)}});
   setPhase(attempt, AttemptPhase::running);
-  if (!attempt.image.empty()) machine.noteImage(attempt.image, attempt.sizeGb);
+  if (!attempt.image.empty()) machine.recordImage(attempt.image, attempt.sizeGb);
   if (!attempt.gang) return;
   if (jobs::Job* job = state_.jobs.find(attempt.task.job.text); job != nullptr && job->open())
     gangs_.onTaskRunning(*job);
@@ -56,14 +56,14 @@
 void AttemptTracker::applyEnded(Machine& machine, Attempt& attempt, wire::Cause cause) {
   if (attempt.phase == AttemptPhase::ended) return;
   state_.requestPlacementRound();
-  const bool wasPlaced = attempt.phase != AttemptPhase::free;
+  const bool wasPlaced = attempt.phase != AttemptPhase::released;
   setPhase(attempt, AttemptPhase::ended);
   attempt.cause = cause;
   if (!wasPlaced) return;
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   const bool known = job != nullptr && job->open() && attempt.task.index < job->tasks.size();
   if (cause == wire::Cause::done && !attempt.isService) {
-    machine.clearErrors();
+    machine.faults.clear();
     if (known) complete(attempt.task);
     return;
   }
@@ -86,13 +86,13 @@
     for (const Attempt& other : machine.attempts)
       if (other.holdsCapacity() && other.task == task) return;
   }
-  job.to(task.index, jobs::TaskPhase::waiting, context_.now);
+  job.setTaskPhase(task.index, jobs::TaskPhase::waiting, context_.now);
 }
 
 void AttemptTracker::release(Machine& machine, Attempt& attempt, const char* why) {
-  if (attempt.phase == AttemptPhase::free) return;
+  if (attempt.phase == AttemptPhase::released) return;
   const bool wasEnded = attempt.phase == AttemptPhase::ended;
-  setPhase(attempt, AttemptPhase::free);
+  setPhase(attempt, AttemptPhase::released);
   state_.requestPlacementRound();
   if (wasEnded) return;  // its task was handled when the attempt ended
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
@@ -112,14 +112,15 @@
 }
 
 void AttemptTracker::eraseFreed(Machine& machine) {
-  std::erase_if(machine.attempts, [](const Attempt& attempt) { return attempt.phase == AttemptPhase::free; });
+  std::erase_if(machine.attempts,
+                [](const Attempt& attempt) { return attempt.phase == AttemptPhase::released; });
 }
 
 void AttemptTracker::complete(const wire::TaskId& task) {
   jobs::Job& job = *state_.jobs.find(task.job.text);
   if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
   if (job.isGang()) return gangs_.complete(job);
-  job.to(task.index, jobs::TaskPhase::completed, context_.now);
+  job.setTaskPhase(task.index, jobs::TaskPhase::completed, context_.now);
   if (job.failures.jobAtFault()) job.failures.reset();
   records_.taskCompleted(task);
   state_.requestPlacementRound();
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -49,7 +49,8 @@
   int left = count;
   for (auto& [host, machine] : state_.machines.all()) {
     if (left <= 0) return;
-    if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) continue;
+    if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.transactionInFlight)
+      continue;
     if (fleet::poolOf(machine) != pool) continue;
     if (!headroom.allowsRelease(machine)) return;
     headroom.release(machine);
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -139,7 +139,7 @@
   const std::string key = jobs::doneKey(id.ref, id.chunk);
   const auto revision = job.doneRevisions.find(id.chunk);
   transaction.conditions.push_back({key, revision == job.doneRevisions.end() ? 0 : revision->second});
-  transaction.writes.push_back({key, Json{{"hex", job.doneChunk(id.chunk)}}, {}});
+  transaction.writes.push_back({key, Json{{"hex", job.encodeDoneChunk(id.chunk)}}, {}});
 }
 
 void CompletionRecords::onProgressWritten(const std::vector<ChunkId>& chunks, const state::Outcome& outcome) {
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -56,7 +56,7 @@
 }
 
 bool FailureDetector::checkLease(const std::string& host, Machine& machine) {
-  const bool expired = context_.now - machine.leaseRenewedAt > context_.settings.leaseOver();
+  const bool expired = context_.now - machine.contact.leaseRenewedAt > context_.settings.leaseOver();
   const bool hasAttempts =
       std::any_of(machine.attempts.begin(), machine.attempts.end(),
                   [](const Attempt& attempt) { return attempt.phase != AttemptPhase::planned; });
@@ -68,19 +68,20 @@
 }
 
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
-  const auto silentFor = context_.now - machine.lastHeartbeatAt;
+  const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
   const bool maybePartitioned = partitions_.doubtful(machine.zone);
   if (silentFor > state_.heartbeatTimeout(constants::kSilentHeartbeats, 2) &&
       (leaseExpired || !maybePartitioned))
     lifecycle_.decommission(machine, "silent");
   if (silentFor > state_.heartbeatTimeout(constants::kProbeHeartbeats, 1)) prober_.probeOverdue(machine);
   // Overdue and unreachable as well: no need to wait for a third heartbeat.
-  if (machine.unreachable && silentFor > state_.heartbeatTimeout(constants::kGoneHeartbeats, 1) &&
+  if (machine.contact.unreachable && silentFor > state_.heartbeatTimeout(constants::kGoneHeartbeats, 1) &&
       !maybePartitioned)
     lifecycle_.decommission(machine, "unreachable");
   // It sends heartbeats, but nothing from here arrives: its lease has expired, and it can't run work.
-  const bool unacknowledged = !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
-                              context_.now - machine.unacknowledgedSince >
+  const bool unacknowledged = !machine.contact.tokenAcknowledged &&
+                              machine.contact.unacknowledgedSince != Time{} &&
+                              context_.now - machine.contact.unacknowledgedSince >
                                   context_.settings.leaseOver() + constants::kUnacknowledgedPatience;
   if (unacknowledged && machine.phase == MachinePhase::up)
     lifecycle_.decommission(machine, "acknowledges nothing");
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -12,19 +12,19 @@
 constexpr int kMaxBackoffDoublings = 6;
 
 bool attemptInProgress(const jobs::Job& job) {
-  const GangState phase = job.gang.phase;
+  const GangState phase = job.gang.state;
   return phase == GangState::reserving || phase == GangState::gathering || phase == GangState::running;
 }
 }  // namespace
 
 void GangCoordinator::setState(jobs::Job& job, GangState next, const char* why) {
-  if (job.gang.phase == next) return;
+  if (job.gang.state == next) return;
   context_.event(Level::info, "gang",
                  {{"job", job.spec.ref.text},
-                  {"from", std::string(name(job.gang.phase))},
+                  {"from", std::string(name(job.gang.state))},
                   {"to", std::string(name(next))},
                   {"why", why}});
-  job.gang.to(next);
+  job.gang.setState(next);
 }
 
 void GangCoordinator::adoptAttempts() {
@@ -32,9 +32,9 @@
   for (auto& [host, machine] : state_.machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
       jobs::Job* job = attempt.gang ? state_.jobs.find(attempt.task.job.text) : nullptr;
-      if (job == nullptr || attempt.number < job->gang.number) continue;
-      if (attempt.number > job->gang.number) tasksOfLatest[attempt.task.job.text].clear();
-      job->gang.number = attempt.number;
+      if (job == nullptr || attempt.number < job->gang.attemptNumber) continue;
+      if (attempt.number > job->gang.attemptNumber) tasksOfLatest[attempt.task.job.text].clear();
+      job->gang.attemptNumber = attempt.number;
       tasksOfLatest[attempt.task.job.text].insert(attempt.task.index);
     }
   }
@@ -43,28 +43,28 @@
     const bool complete = found.size() == job.spec.taskCount;
     setState(job, complete ? GangState::gathering : GangState::clearing, "adopted");
     state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-      if (!complete || attempt.number != job.gang.number) commands_.stop(machine, attempt, 0);
+      if (!complete || attempt.number != job.gang.attemptNumber) commands_.stop(machine, attempt, 0);
     });
   }
 }
 
 void GangCoordinator::beginAttempt(jobs::Job& job, std::uint64_t number) {
-  job.gang.number = number;
+  job.gang.attemptNumber = number;
   job.gang.partialScaleOuts = 0;
   setState(job, GangState::reserving, "room for all");
 }
 
 bool GangCoordinator::mayStart(const Attempt& attempt) {
   const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-  return job != nullptr && job->open() && job->gang.number == attempt.number &&
-         job->gang.phase == GangState::gathering;
+  return job != nullptr && job->open() && job->gang.attemptNumber == attempt.number &&
+         job->gang.state == GangState::gathering;
 }
 
 void GangCoordinator::onTasksRecorded(jobs::Job& job) {
-  if (job.gang.phase != GangState::reserving) return;
+  if (job.gang.state != GangState::reserving) return;
   std::uint32_t recorded = 0;
   state_.forEachAttempt(job.spec.ref.text, [&](Machine&, Attempt& attempt) {
-    if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::recorded) ++recorded;
+    if (attempt.number == job.gang.attemptNumber && attempt.phase == AttemptPhase::recorded) ++recorded;
   });
   if (recorded < job.spec.taskCount) return;
   setState(job, GangState::gathering, "all places are durable");
@@ -73,24 +73,25 @@
 }
 
 void GangCoordinator::onTaskRunning(jobs::Job& job) {
-  if (job.gang.phase != GangState::gathering || job.running < job.spec.taskCount) return;
+  if (job.gang.state != GangState::gathering || job.running < job.spec.taskCount) return;
   // job.running also counts tasks of an earlier attempt and tasks that are checkpointing already: they don't
   // show that this attempt runs.
   std::uint32_t running = 0;
   state_.forEachAttempt(job.spec.ref.text, [&](Machine&, const Attempt& attempt) {
-    if (attempt.number == job.gang.number && attempt.phase == AttemptPhase::running) ++running;
+    if (attempt.number == job.gang.attemptNumber && attempt.phase == AttemptPhase::running) ++running;
   });
   if (running < job.spec.taskCount) return;
-  job.gang.failures = 0;
+  job.gang.consecutiveFailures = 0;
   setState(job, GangState::running, "all tasks run");
 }
 
 void GangCoordinator::onTaskLost(jobs::Job& job, const Attempt& attempt, const char* why) {
-  if (!job.isGang() || !job.open() || attempt.number != job.gang.number) return;
+  if (!job.isGang() || !job.open() || attempt.number != job.gang.attemptNumber) return;
   if (!attemptInProgress(job)) return;
   setState(job, GangState::clearing, why);
-  ++job.gang.failures;
-  const auto backoff = constants::kGangRetry * (1 << std::min(job.gang.failures - 1, kMaxBackoffDoublings));
+  ++job.gang.consecutiveFailures;
+  const auto backoff =
+      constants::kGangRetry * (1 << std::min(job.gang.consecutiveFailures - 1, kMaxBackoffDoublings));
   job.backoffUntil = std::max(job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(
                                                                    backoff, constants::kGangRetryMost));
   state_.forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt& other) {
@@ -101,7 +102,7 @@
 void GangCoordinator::complete(jobs::Job& job) {
   setState(job, GangState::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
-    job.to(index, jobs::TaskPhase::completed, context_.now);
+    job.setTaskPhase(index, jobs::TaskPhase::completed, context_.now);
   records_.jobFinished(job.spec.ref.text);
   state_.requestPlacementRound();
 }
@@ -120,7 +121,7 @@
   if (!attemptInProgress(*job)) return;
   const double graceS = job->spec.checkpointS + 1;
   const bool saves =
-      job->gang.phase == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
+      job->gang.state == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
   setState(*job, GangState::stopping, why);
   state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
     if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? graceS : 0);
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -21,7 +21,7 @@
     // The machine is alive all the same: those that kept sending during a long outage of the key-value store
     // are not given up afterwards.
     Machine* known = state_.machines.find(heartbeat.host.text);
-    if (known != nullptr && isNewer(*known, heartbeat)) known->lastHeartbeatAt = context_.now;
+    if (known != nullptr && isNewer(*known, heartbeat)) known->contact.lastHeartbeatAt = context_.now;
     return {};
   }
   if (!mayAnswer(heartbeat)) return {};
@@ -30,9 +30,9 @@
   if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::terminated) return {};
   applyMachineFields(machine, heartbeat);
   apply(machine, heartbeat, source);
-  machine.unreachable = false;
-  machine.lastHeartbeatAt = context_.now;
-  machine.leaseRenewedAt = std::max(machine.leaseRenewedAt, context_.now);
+  machine.contact.unreachable = false;
+  machine.contact.lastHeartbeatAt = context_.now;
+  machine.contact.leaseRenewedAt = std::max(machine.contact.leaseRenewedAt, context_.now);
   const auto commands = commands_.commandsFor(machine, source, heartbeat.sequence);
   return HeartbeatResponse{200, wire::encodeCommands(commands_.fencingTokenOf(machine), commands)};
 }
@@ -50,9 +50,9 @@
   // From an instance request whose answer is not in yet, or from one of an earlier leader.
   Machine& machine = state_.machines.add(host);
   machine.provisionedAt = context_.now;
-  machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
-  machine.lastHeartbeatAt = context_.now;
-  machine.lastDirectContactAt = context_.now;
+  machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
+  machine.contact.lastHeartbeatAt = context_.now;
+  machine.contact.lastDirectContactAt = context_.now;
   return machine;
 }
 
@@ -63,7 +63,7 @@
   machine.spot = heartbeat.spot;
   lifecycle_.applyMachineType(machine);
   if (machine.phase != MachinePhase::booting) return;
-  machine.to(MachinePhase::up, context_.now);
+  machine.setPhase(MachinePhase::up, context_.now);
   boots_.recordBoot(machine);
   context_.event(Level::info, "machine_up",
                  {{"machine", heartbeat.host.text},
@@ -77,7 +77,7 @@
   if (!isNewer(machine, heartbeat)) return;
   if (heartbeat.incarnation > machine.incarnation) onNewIncarnation(machine, heartbeat);
   machine.sequence = heartbeat.sequence;
-  if (source != HeartbeatSource::relay) machine.lastDirectContactAt = context_.now;
+  if (source != HeartbeatSource::relay) machine.contact.lastDirectContactAt = context_.now;
   applyFencingToken(machine, heartbeat);
   applySpotNotice(machine, heartbeat);
   for (const wire::TaskStatus& status : heartbeat.tasks) {
@@ -106,7 +106,7 @@
   machine.incarnation = heartbeat.incarnation;
   // The lease of the new incarnation counts from its beginning, whether or not any of its heartbeats was
   // answered: tasks that direct commands start in it go on for that long.
-  machine.leaseRenewedAt = std::max(machine.leaseRenewedAt, context_.now);
+  machine.contact.leaseRenewedAt = std::max(machine.contact.leaseRenewedAt, context_.now);
   machine.images = {};
 }
 
@@ -134,11 +134,11 @@
   stray.task = status.task;
   stray.number = status.attempt;
   stray.inherited = true;
-  stray.stopWanted = true;
+  stray.stopRequested = true;
   stray.phase = AttemptPhase::recorded;
-  stray.since = stray.placedAt = context_.now;
+  stray.phaseSince = stray.placedAt = context_.now;
   if (const jobs::Job* job = state_.jobs.find(status.task.job.text); job != nullptr) {
-    stray.each = job->spec.each;
+    stray.resources = job->spec.each;
     stray.team = job->spec.team;
   }
   machine.attempts.push_back(std::move(stray));
@@ -168,7 +168,7 @@
   // answer did not arrive. Until the worker is seen with a higher token it gets no more work.
   const bool notTaken = attempt.startSentInSequence != 0 && sequence > attempt.startSentInSequence;
   if (notTaken && !seen) commands_.advanceFencingToken(machine);
-  if (seen || attempt.inherited || attempt.stopWanted || notTaken)
+  if (seen || attempt.inherited || attempt.stopRequested || notTaken)
     attempts_.release(machine, attempt, seen ? "reaped" : notTaken ? "not taken" : "absent");
 }
 
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -16,9 +16,9 @@
   machine.zone = pool.zone;
   machine.spot = pool.spot;
   machine.provisionedAt = context_.now;
-  machine.lastHeartbeatAt = context_.now;
-  machine.lastDirectContactAt = context_.now;
-  machine.leaseRenewedAt = context_.now;
+  machine.contact.lastHeartbeatAt = context_.now;
+  machine.contact.lastDirectContactAt = context_.now;
+  machine.contact.leaseRenewedAt = context_.now;
   lifecycle_.applyMachineType(machine);
 }
 
@@ -27,8 +27,8 @@
     Machine* machine = state_.machines.find(host);
     if (machine == nullptr) continue;
     attempts_.releaseAll(*machine, "machine gone");
-    machine->to(MachinePhase::terminated, context_.now);
-    for (const std::uint32_t batch : state_.batches.naming(host)) state_.staleBatches.insert(batch);
+    machine->setPhase(MachinePhase::terminated, context_.now);
+    for (const std::uint32_t batch : state_.batches.batchesNaming(host)) state_.staleBatches.insert(batch);
     context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
     // A placement whose transaction is in flight finds no machine to start on, as it should.
     for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine gone");
@@ -57,13 +57,13 @@
   machine.spot = entry.spot;
   machine.endpoint = entry.endpoint;
   machine.provisionedAt = context_.now - wire::seconds(entry.ageS);
-  machine.lastHeartbeatAt = context_.now;
-  machine.lastDirectContactAt = context_.now;
-  machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
+  machine.contact.lastHeartbeatAt = context_.now;
+  machine.contact.lastDirectContactAt = context_.now;
+  machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
   lifecycle_.applyMachineType(machine);
   // Nothing is placed on it, but under an earlier leader it was up: it will send heartbeats, and its age must
   // not count as a boot time-out.
-  if (entry.state == wire::InstanceState::running) machine.to(MachinePhase::up, context_.now);
+  if (entry.state == wire::InstanceState::running) machine.setPhase(MachinePhase::up, context_.now);
   return machine;
 }
 
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -64,7 +64,7 @@
   for (const std::string& key : outcome.failed) {
     if (key.starts_with(kJobKeyPrefix)) {
       jobFeed.confirm(context.now, [](bool) {});
-    } else if (jobs::endedDoneKey(jobs, key)) {
+    } else if (jobs::isProgressKeyOfEndedJob(jobs, key)) {
       // Its job became final while this transaction was queued, and its progress records were deleted.
     } else {
       // Another writer has changed a record that only a leader writes, or this leader's view is stale: a new
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -9,7 +9,9 @@
 constexpr std::size_t kJsonItemOverhead = 3;
 
 // Time in seconds that a single task gets for a checkpoint when it is stopped.
-double checkpointGraceS(const Attempt& attempt) { return attempt.saves ? attempt.checkpointS + 1 : 0; }
+double checkpointGraceS(const Attempt& attempt) {
+  return attempt.canCheckpoint ? attempt.checkpointS + 1 : 0;
+}
 }  // namespace
 
 MachineLifecycle::MachineLifecycle(LeaderState& state, GangCoordinator& gangs, cloud::Client& cloud)
@@ -32,7 +34,7 @@
 void MachineLifecycle::drain(Machine& machine, const char* why, DrainMode mode) {
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
   machine.decommissionReason = why;
-  machine.to(MachinePhase::draining, context_.now);
+  machine.setPhase(MachinePhase::draining, context_.now);
   context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
   for (Attempt& attempt : machine.attempts) {
     if (mode == DrainMode::graceful && !attempt.isService) continue;
@@ -43,7 +45,7 @@
 void MachineLifecycle::decommission(Machine& machine, const char* why) {
   if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
   machine.decommissionReason = why;
-  machine.to(MachinePhase::decommissioning, context_.now);
+  machine.setPhase(MachinePhase::decommissioning, context_.now);
   context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
 }
 
@@ -64,7 +66,7 @@
 void MachineLifecycle::advance() {
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
-      machine.to(MachinePhase::decommissioning, context_.now);
+      machine.setPhase(MachinePhase::decommissioning, context_.now);
     } else if (machine.phase == MachinePhase::up && machine.spotNoticeAt && machine.attempts.empty()) {
       drain(machine, "spot notice");
     }
@@ -84,8 +86,9 @@
   for (const auto& [host, machine] : state_.machines.all())
     if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
   for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase != MachinePhase::decommissioning || machine.recordBusy || !fits(host)) continue;
-    machine.recordBusy = true;
+    if (machine.phase != MachinePhase::decommissioning || machine.transactionInFlight || !fits(host))
+      continue;
+    machine.transactionInFlight = true;
     names.push_back(host);
     added.push_back(host);
   }
@@ -106,9 +109,9 @@
   for (const std::string& host : hosts) {
     Machine* machine = state_.machines.find(host);
     if (machine == nullptr) continue;
-    machine->recordBusy = false;
+    machine->transactionInFlight = false;
     if (!applied) continue;
-    machine->to(MachinePhase::terminating, context_.now);
+    machine->setPhase(MachinePhase::terminating, context_.now);
     cloud_.release(context_.now, host);
   }
   if (!applied) state_.onTransactionRefused(outcome, "retiring");
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -38,44 +38,44 @@
 
 // --- decisions ---------------------------------------------------------------------------------------------
 
-placement::World PlacementScheduler::worldForRound() {
+placement::SchedulingInput PlacementScheduler::worldForRound() {
   const std::size_t ops = context_.settings.stateTxnOps;
-  placement::World world{context_.settings,
-                         context_.now,
-                         context_.wallMs,
-                         {},
-                         {},
-                         {},
-                         4 * ops - constants::kBatchesPerRound - state_.partitionCount()};
+  placement::SchedulingInput world{context_.settings,
+                                   context_.now,
+                                   context_.wallMs,
+                                   {},
+                                   {},
+                                   {},
+                                   4 * ops - constants::kBatchesPerRound - state_.partitionCount()};
   for (const std::string& ref : state_.jobs.open()) {
     jobs::Job* job = state_.jobs.find(ref);
-    world.open.push_back(job);
-    if (job->waiting > 0) world.jobs.push_back(job);
+    world.openJobs.push_back(job);
+    if (job->waiting > 0) world.waitingJobs.push_back(job);
   }
   return world;
 }
 
-placement::Plan PlacementScheduler::plan() {
-  placement::World world = worldForRound();
+placement::PlacementPlan PlacementScheduler::plan() {
+  placement::SchedulingInput world = worldForRound();
   shares_.prepare(world, mayPreemptForShares());
-  if (world.jobs.empty()) {
+  if (world.waitingJobs.empty()) {
     unplaced_.clear();
     return {};
   }
   world.machines = state_.existingMachines();
-  placement::Plan plan = placement::plan(world);
+  placement::PlacementPlan plan = placement::planPlacements(world);
   shares_.onPlanned(plan);
   unplaced_ = std::move(plan.unplaced);
   // Waiting work is looked at again when something has changed, or when time alone may have changed it.
-  const bool idle = plan.assignments.empty() && plan.stops.empty();
+  const bool idle = plan.assignments.empty() && plan.preemptions.empty();
   nextPlan_ = context_.now + (idle ? constants::kIdleRoundGap : constants::kRoundGap);
   replanAt_ = context_.now + constants::kReplanEvery;
-  preempt(plan.stops);
+  preempt(plan.preemptions);
   return plan;
 }
 
-void PlacementScheduler::preempt(const std::vector<placement::Stop>& stops) {
-  for (const placement::Stop& stop : stops) {
+void PlacementScheduler::preempt(const std::vector<placement::Preemption>& stops) {
+  for (const placement::Preemption& stop : stops) {
     Attempt* attempt = stop.machine->find(stop.task, stop.attempt);
     if (attempt == nullptr) continue;
     context_.event(Level::info, "preempt", {{"task", stop.task.str()}, {"machine", stop.machine->host.text}});
@@ -105,16 +105,16 @@
 }
 
 bool PlacementScheduler::reserveGangTask(Machine& machine, Attempt& attempt, Round& round) {
-  if (attempt.stopWanted || machine.phase != MachinePhase::up) {
+  if (attempt.stopRequested || machine.phase != MachinePhase::up) {
     attempts_.release(machine, attempt, "not placed");
-    machine.recordBusy =
+    machine.transactionInFlight =
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& other) { return other.phase == AttemptPhase::planned; });
     return true;
   }
-  attempt.batch = state_.batches.place(machine, attempt, round.batches, constants::kBatchesPerRound);
+  attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kBatchesPerRound);
   if (!attempt.batch) return false;
-  machine.recordBusy = true;
+  machine.transactionInFlight = true;
   round.hosts.insert(machine.host.text);
   round.jobs.insert(attempt.task.job.text);
   return true;
@@ -136,21 +136,21 @@
   Machine& machine = *assignment.machine;
   Attempt attempt;
   attempt.task = wire::TaskId{job.spec.ref, assignment.index};
-  attempt.batch = state_.batches.place(machine, attempt, round.batches, constants::kBatchesPerRound);
-  const bool gangBegun = job.isGang() && job.gang.phase == jobs::GangState::reserving;
+  attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kBatchesPerRound);
+  const bool gangBegun = job.isGang() && job.gang.state == jobs::GangState::reserving;
   if (!attempt.batch && !gangBegun) return false;
   // The placements of a gang are decided at once, though they may need several transactions.
   if (!attempt.batch) reservingGangs_.insert(job.spec.ref.text);
   // Never given twice, by any leader of any term. The tasks of a gang attempt share their number.
-  attempt.number = gangBegun ? job.gang.number : cluster::fencingToken(state_.term, ++attemptCount_);
+  attempt.number = gangBegun ? job.gang.attemptNumber : cluster::fencingToken(state_.term, ++attemptCount_);
   if (job.isGang() && !gangBegun) gangs_.beginAttempt(job, attempt.number);
   setResourceFields(attempt, job.spec);
   setSchedulingFields(attempt, job);
-  attempt.since = attempt.placedAt = context_.now;
+  attempt.phaseSince = attempt.placedAt = context_.now;
   const bool inRound = attempt.batch.has_value();
   machine.attempts.push_back(std::move(attempt));
-  machine.recordBusy = true;
-  job.to(assignment.index, jobs::TaskPhase::placed, context_.now);
+  machine.transactionInFlight = true;
+  job.setTaskPhase(assignment.index, jobs::TaskPhase::placed, context_.now);
   if (!inRound) return true;
   round.hosts.insert(machine.host.text);
   round.jobs.insert(job.spec.ref.text);
@@ -164,7 +164,7 @@
   for (auto at = state_.staleBatches.begin();
        at != state_.staleBatches.end() && round.batches.size() < constants::kBatchesPerRound;) {
     if (!round.batches.contains(*at) &&
-        !state_.batches.shrink(state_.machines, *at, round.batches, constants::kBatchesPerRound)) {
+        !state_.batches.shrinkBatch(state_.machines, *at, round.batches, constants::kBatchesPerRound)) {
       ++at;  // what has moved to other batches is written first
       continue;
     }
@@ -200,7 +200,7 @@
   state_.requestPlacementRound();
   const bool applied = outcome.verdict == state::Verdict::applied;
   if (applied)
-    for (const auto& [number, named] : batches) state_.batches.written(number, outcome.revision, named);
+    for (const auto& [number, named] : batches) state_.batches.setStored(number, outcome.revision, named);
   std::set<std::string> gangs;
   for (const std::string& host : hosts)
     if (Machine* machine = state_.machines.find(host); machine != nullptr)
@@ -212,21 +212,21 @@
 
 void PlacementScheduler::applyOutcome(Machine& machine, const HostsByBatch& batches, bool applied,
                                       std::set<std::string>& gangs) {
-  machine.recordBusy = false;
+  machine.transactionInFlight = false;
   for (Attempt& attempt : machine.attempts) {
     if (attempt.phase != AttemptPhase::planned) continue;
     if (!attempt.batch || !batches.contains(*attempt.batch)) {
-      machine.recordBusy = true;  // a gang task whose placement goes with the next transaction
+      machine.transactionInFlight = true;  // a gang task whose placement goes with the next transaction
       continue;
     }
     if (attempt.gang) gangs.insert(attempt.task.job.text);
     // Stopped meanwhile, or on a machine that is given up: it was never started, so it is free.
-    const bool wanted = !attempt.stopWanted && machine.phase == MachinePhase::up;
+    const bool wanted = !attempt.stopRequested && machine.phase == MachinePhase::up;
     if (!applied || !wanted) {
       attempts_.release(machine, attempt, "not placed");
       continue;
     }
-    attempt.to(AttemptPhase::recorded, context_.now);
+    attempt.setPhase(AttemptPhase::recorded, context_.now);
     commands_.markDue(machine);
     if (context_.logs(Level::debug))
       context_.event(Level::debug, "placed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -43,9 +43,9 @@
   };
   using HostsByBatch = std::map<std::uint32_t, std::set<std::string>>;
 
-  placement::Plan plan();
-  placement::World worldForRound();
-  void preempt(const std::vector<placement::Stop>& stops);
+  placement::PlacementPlan plan();
+  placement::SchedulingInput worldForRound();
+  void preempt(const std::vector<placement::Preemption>& stops);
   // Whether tasks may be preempted for the sake of shares.
   bool mayPreemptForShares() const;
   // Places gang tasks that did not fit into the batches of the round that decided on them.
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -16,14 +16,14 @@
 }
 }  // namespace
 
-void RoundShares::prepare(placement::World& world, bool mayPreemptForShares) {
+void RoundShares::prepare(placement::SchedulingInput& world, bool mayPreemptForShares) {
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   world.shares = &*context_.shares;
   world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemption_;
 }
 
-void RoundShares::onPlanned(const placement::Plan& plan) {
+void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
   // The search walks over all machines: what it could not find now is not searched for in every round.
   if (plan.triedSharePreemption) nextPreemption_ = context_.now + constants::kReplanEvery;
   if (plan.sharePreemptions == 0) return;
--- a/src/service/leader/round_shares.hpp
+++ b/src/service/leader/round_shares.hpp
@@ -16,9 +16,9 @@
   RoundShares(const RoundShares&) = delete;
 
   // Before a round: sets the table in `world`, and whether the round may preempt for the sake of shares.
-  void prepare(placement::World& world, bool mayPreemptForShares);
+  void prepare(placement::SchedulingInput& world, bool mayPreemptForShares);
   // After the round.
-  void onPlanned(const placement::Plan& plan);
+  void onPlanned(const placement::PlacementPlan& plan);
   // Whether a table is in force that no round has used.
   bool tableChanged() const { return context_.shares && context_.shares->generation != generation_; }
   // Writes the status when it is due and has changed, while the leader lease is held.
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -8,32 +8,33 @@
 namespace reachhoist::service {
 
 bool ServiceFailover::isPlacedService(const Attempt& attempt) {
-  return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopWanted &&
+  return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopRequested &&
          attempt.priority >= wire::Priority::high;
 }
 
 double ServiceFailover::serviceCpus(const Machine& machine) {
   double cpus = 0;
   for (const Attempt& attempt : machine.attempts)
-    if (isPlacedService(attempt)) cpus += attempt.each.vcpus;
+    if (isPlacedService(attempt)) cpus += attempt.resources.vcpus;
   return cpus;
 }
 
 bool ServiceFailover::isPartitioned(const Machine& machine) const {
-  return machine.phase == MachinePhase::up && machine.unreachable && partitions_.contains(machine.zone);
+  return machine.phase == MachinePhase::up && machine.contact.unreachable &&
+         partitions_.contains(machine.zone);
 }
 
 double ServiceFailover::capacityForServices() const {
   double capacity = 0;
   for (const auto& [host, machine] : state_.machines.all()) {
-    const bool reachable = machine.phase == MachinePhase::up && machine.tokenAcknowledged &&
-                           !machine.unreachable && !machine.spotNoticeAt && !machine.spot;
+    const bool reachable = machine.phase == MachinePhase::up && machine.contact.tokenAcknowledged &&
+                           !machine.contact.unreachable && !machine.spotNoticeAt && !machine.spot;
     if (reachable) capacity += std::max(0.0, machine.freeCapacity().vcpus);
     // Services of machines that are being given up will move to the same capacity.
     if (machine.phase != MachinePhase::decommissioning && machine.phase != MachinePhase::terminating)
       continue;
     for (const Attempt& attempt : machine.attempts)
-      if (isPlacedService(attempt)) capacity -= attempt.each.vcpus;
+      if (isPlacedService(attempt)) capacity -= attempt.resources.vcpus;
   }
   for (const placement::UnplacedDemand& unmet : scheduler_.unplaced())
     if (unmet.job->spec.priority >= wire::Priority::high)
@@ -50,7 +51,7 @@
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
     const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
-    if (context_.now - machine.lastHeartbeatAt < patience) continue;
+    if (context_.now - machine.contact.lastHeartbeatAt < patience) continue;
     const double cpus = serviceCpus(machine);
     if (cpus == 0 || cpus > capacity) continue;
     capacity -= cpus;
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -172,7 +172,7 @@
   if (hosts)
     for (const machines::BatchedHost& record : *hosts) hostNames.insert(record.host);
   // Also a batch that can't be decoded has a revision, on which its next write depends.
-  state_.batches.loaded(*number, revision, std::move(hostNames));
+  state_.batches.setStored(*number, revision, std::move(hostNames));
   if (!hosts) {
     context_.event(Level::error, "bad_record", {{"page", name}});
     return;
@@ -187,11 +187,11 @@
   machine.spot = record.spot;
   machine.phase = MachinePhase::up;
   machine.provisionedAt = context_.now;
-  machine.lastHeartbeatAt = context_.now;
-  machine.lastDirectContactAt = context_.now;
+  machine.contact.lastHeartbeatAt = context_.now;
+  machine.contact.lastDirectContactAt = context_.now;
   machine.upSince = context_.now;
   machine.idleSince = context_.now;
-  machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
+  machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
   for (const auto& [task, attemptNumber] : record.placed) {
     // While it moves from a batch that has grown too large to another, both name it.
     if (machine.find(task, attemptNumber) != nullptr) continue;
@@ -201,7 +201,7 @@
     attempt.phase = AttemptPhase::recorded;
     attempt.inherited = true;
     attempt.batch = batch;
-    attempt.since = attempt.placedAt = context_.now;
+    attempt.phaseSince = attempt.placedAt = context_.now;
     machine.attempts.push_back(std::move(attempt));
   }
 }
@@ -232,7 +232,7 @@
   for (const std::string& host : decommissionedHosts_) {
     Machine& machine = state_.machines.add(host);
     machine.phase = MachinePhase::terminating;
-    machine.leaseRenewedAt = state_.inheritedLeaseRenewal();
+    machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
   }
   decommissionedHosts_.clear();
 }
@@ -250,12 +250,12 @@
   // Also when the job has ended since: until it is proven gone, the attempt counts for its team.
   if (job != nullptr) setResourceFields(attempt, job->spec);
   if (job == nullptr || !job->open() || attempt.task.index >= job->spec.taskCount) {
-    attempt.stopWanted = true;
+    attempt.stopRequested = true;
     return;
   }
   setSchedulingFields(attempt, *job);
   if (job->tasks[attempt.task.index] == jobs::TaskPhase::waiting)
-    job->to(attempt.task.index, jobs::TaskPhase::placed, context_.now);
+    job->setTaskPhase(attempt.task.index, jobs::TaskPhase::placed, context_.now);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -8,8 +8,9 @@
   jobs::Job* job = state_.jobs.find(ref);
   if (job == nullptr || !job->open()) return;
   const bool ran = attempt.runningSince != Time{};
-  job->failures.note(machine.host.text, ran ? context_.now - attempt.runningSince : wire::Duration{});
-  if (job->failures.jobAtFault() || (job->failures.widespread() && !succeedsElsewhere(ref, machine))) {
+  job->failures.recordFailure(machine.host.text,
+                              ran ? context_.now - attempt.runningSince : wire::Duration{});
+  if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // It failed on every machine: a few of its tasks are retried ever more rarely until its user cancels it.
     if (faultyJobs_.insert(ref).second) {
       context_.event(Level::info, "job_at_fault", {{"job", ref}});
@@ -17,15 +18,15 @@
     }
     return job->failures.attributeToJob(context_.now);
   }
-  ++machine.consecutiveErrors;
-  machine.failedJobs.insert(ref);
-  if (machine.consecutiveErrors >= constants::kSuspectErrors)
-    machine.suspectUntil = context_.now + constants::kSuspectPause;
+  ++machine.faults.consecutiveErrors;
+  machine.faults.failedJobs.insert(ref);
+  if (machine.faults.consecutiveErrors >= constants::kSuspectErrors)
+    machine.faults.suspectUntil = context_.now + constants::kSuspectPause;
 }
 
 void TaskFailurePolicy::clearMachineSuspicion(const std::string& ref) {
   for (auto& [host, machine] : state_.machines.all())
-    if (machine.failedJobs.erase(ref) > 0 && machine.failedJobs.empty()) machine.clearErrors();
+    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty()) machine.faults.clear();
 }
 
 void TaskFailurePolicy::reviewFaultyJobs() {
@@ -57,24 +58,24 @@
       // Tasks of a gang run together with the one that failed: that they ran proves nothing.
       if (attempt.task.job.text != ref || attempt.gang) continue;
       if (attempt.phase == AttemptPhase::ended && attempt.cause == wire::Cause::done) return true;
-      if (attempt.onMachine() && context_.now - attempt.since > longEnough) return true;
+      if (attempt.isExecuting() && context_.now - attempt.phaseSince > longEnough) return true;
     }
   }
   return false;
 }
 
 void TaskFailurePolicy::quarantineIfFaulty(Machine& machine) {
-  if (machine.consecutiveErrors < constants::kSuspectErrors || machine.quarantined) return;
+  if (machine.faults.consecutiveErrors < constants::kSuspectErrors || machine.faults.quarantined) return;
   bool allJobsFaulty = true;
-  for (const std::string& ref : machine.failedJobs) {
+  for (const std::string& ref : machine.faults.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
-      machine.quarantined = true;
+      machine.faults.quarantined = true;
       return lifecycle_.drain(machine, "sick");
     }
     const jobs::Job* job = state_.jobs.find(ref);
-    if (job != nullptr && job->open() && job->failures.machines() < 2) allJobsFaulty = false;
+    if (job != nullptr && job->open() && job->failures.failedMachineCount() < 2) allJobsFaulty = false;
   }
-  if (allJobsFaulty) machine.clearErrors();
+  if (allJobsFaulty) machine.faults.clear();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -13,19 +13,19 @@
 
 void WorkerCommands::stop(Machine& machine, Attempt& attempt, double graceS) {
   if (attempt.phase == AttemptPhase::planned || attempt.phase == AttemptPhase::ended) {
-    attempt.stopWanted = true;
+    attempt.stopRequested = true;
     return;
   }
-  const bool lessGrace = attempt.stopWanted && graceS < attempt.graceS;
-  if (attempt.stopWanted && !lessGrace) return;
-  attempt.stopWanted = true;
+  const bool lessGrace = attempt.stopRequested && graceS < attempt.graceS;
+  if (attempt.stopRequested && !lessGrace) return;
+  attempt.stopRequested = true;
   attempt.graceS = graceS;
   attempt.stopSent = false;
   markDue(machine);
 }
 
 void WorkerCommands::markDue(Machine& machine) {
-  machine.commandsDue = true;
+  machine.directCommands.due = true;
   dueHosts_.insert(machine.host.text);
 }
 
@@ -37,18 +37,18 @@
 
 void WorkerCommands::requireNewToken(Machine& machine) {
   ++machine.fencingSequence;
-  machine.tokenAcknowledged = false;
-  machine.unacknowledgedSince = context_.now;
+  machine.contact.tokenAcknowledged = false;
+  machine.contact.unacknowledgedSince = context_.now;
 }
 
 void WorkerCommands::noteAcknowledgedToken(Machine& machine) {
-  if (machine.tokenAcknowledged) return;
+  if (machine.contact.tokenAcknowledged) return;
   if (machine.workerToken < fencingTokenOf(machine)) {
-    if (machine.unacknowledgedSince == Time{}) machine.unacknowledgedSince = context_.now;
+    if (machine.contact.unacknowledgedSince == Time{}) machine.contact.unacknowledgedSince = context_.now;
     return;
   }
-  machine.tokenAcknowledged = true;
-  machine.unacknowledgedSince = Time{};
+  machine.contact.tokenAcknowledged = true;
+  machine.contact.unacknowledgedSince = Time{};
   state_.requestPlacementRound();
 }
 
@@ -72,7 +72,7 @@
                                                         std::uint64_t sequence) {
   switch (attempt.phase) {
     case AttemptPhase::planned:
-    case AttemptPhase::free:
+    case AttemptPhase::released:
       return std::nullopt;
     case AttemptPhase::recorded:
       return startOrStopRecorded(attempt, via, sequence);
@@ -88,7 +88,7 @@
 
 std::optional<wire::Command> WorkerCommands::startOrStopRecorded(Attempt& attempt, HeartbeatSource via,
                                                                  std::uint64_t sequence) {
-  if (attempt.stopWanted) return makeCommand(wire::CommandVerb::stop, attempt);
+  if (attempt.stopRequested) return makeCommand(wire::CommandVerb::stop, attempt);
   // Not started again: it may have ended and been forgotten under an earlier leader.
   if (attempt.inherited) return std::nullopt;
   // Without the leader lease another controller may have confirmed the job's cancellation meanwhile.
@@ -100,7 +100,7 @@
 }
 
 std::optional<wire::Command> WorkerCommands::stopOnMachine(Attempt& attempt, HeartbeatSource via) {
-  if (!attempt.stopWanted) return std::nullopt;
+  if (!attempt.stopRequested) return std::nullopt;
   if (attempt.stopSent && via == HeartbeatSource::direct) return std::nullopt;
   if (attempt.phase == AttemptPhase::saving && attempt.graceS > 0) return std::nullopt;
   attempt.stopSent = true;
@@ -131,8 +131,8 @@
   // Machines beyond the limit wait: those that don't answer occupy their calls until the time limit.
   for (auto at = dueHosts_.begin(); at != dueHosts_.end() && mayCall();) {
     Machine* machine = state_.machines.find(*at);
-    const bool due = machine != nullptr && machine->commandsDue;
-    if (due && (machine->directCommandInFlight || context_.now < machine->nextDirectAt)) {
+    const bool due = machine != nullptr && machine->directCommands.due;
+    if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextAt)) {
       ++at;
       continue;
     }
@@ -142,16 +142,17 @@
 }
 
 void WorkerCommands::sendDirectCommands(Machine& machine) {
-  machine.commandsDue = false;
+  machine.directCommands.due = false;
   if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.mayRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   DirectCall direct{machine.host.text, fencingTokenOf(machine), machine.incarnation,
                     commandsFor(machine, HeartbeatSource::direct, 0)};
-  if (direct.commands.empty() && (machine.tokenAcknowledged || !machine.probedUnheard)) return;
+  if (direct.commands.empty() && (machine.contact.tokenAcknowledged || !machine.contact.takeoverProbeSent))
+    return;
   for (const wire::Command& command : direct.commands)
     if (command.verb == wire::CommandVerb::start)
       ++machine.find(command.task, command.attempt)->directCommandsInFlight;
-  machine.directCommandInFlight = true;
+  machine.directCommands.inFlight = true;
   callBegins();
   wire::Call call;
   call.to = wire::Service::worker;
@@ -172,7 +173,7 @@
 void WorkerCommands::onDirectAnswer(const DirectCall& call, const wire::CallResult& result) {
   Machine* machine = state_.machines.find(call.host);
   if (machine == nullptr) return;
-  machine->directCommandInFlight = false;
+  machine->directCommands.inFlight = false;
   settleStarts(*machine, call, result);
   if (result.status == 0) return onNoAnswer(*machine, call, result);
   const auto heartbeat = wire::decodeHeartbeat(result.body);
@@ -194,7 +195,7 @@
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
   // The commands are void once the worker has seen the higher token.
   if (result.sent && call.token == fencingTokenOf(machine)) requireNewToken(machine);
-  machine.nextDirectAt = context_.now + constants::kWorkerTimeout;
+  machine.directCommands.nextAt = context_.now + constants::kWorkerTimeout;
   context_.event(Level::info, "no_answer", {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
 }
 
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -11,8 +11,10 @@
 }  // namespace
 
 void WorkerProber::probeOverdue(Machine& machine) {
-  if (machine.probing || machine.unreachable || machine.endpoint.empty() || !commands_.mayCall()) return;
-  machine.probing = true;
+  if (machine.contact.probeInFlight || machine.contact.unreachable || machine.endpoint.empty() ||
+      !commands_.mayCall())
+    return;
+  machine.contact.probeInFlight = true;
   probe(machine);
 }
 
@@ -21,11 +23,11 @@
   unsigned left =
       std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / kUnheardCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
+    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
         machine.endpoint.empty())
       continue;
     if (left-- == 0 || !commands_.mayCall()) return;
-    machine.probedUnheard = true;
+    machine.contact.takeoverProbeSent = true;
     probe(machine);
   }
 }
@@ -35,11 +37,12 @@
   const auto overdue = state_.heartbeatTimeout(constants::kQuietHeartbeats, 0.5);
   for (auto& [host, machine] : state_.machines.all()) {
     if (probed == constants::kDirectSamples || !commands_.mayCall()) return;
-    const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
-                         context_.now - machine.lastDirectContactAt > overdue;
-    if (machine.phase != MachinePhase::up || !relayed || machine.probing || machine.endpoint.empty())
+    const bool relayed = context_.now - machine.contact.lastHeartbeatAt <= overdue &&
+                         context_.now - machine.contact.lastDirectContactAt > overdue;
+    if (machine.phase != MachinePhase::up || !relayed || machine.contact.probeInFlight ||
+        machine.endpoint.empty())
       continue;
-    machine.probing = true;
+    machine.contact.probeInFlight = true;
     probe(machine);
     ++probed;
   }
@@ -63,14 +66,14 @@
   commands_.callEnds();
   Machine* machine = state_.machines.find(host);
   if (machine == nullptr) return;
-  machine->probing = false;
-  if (result.status == 0) machine->unreachable = true;
+  machine->contact.probeInFlight = false;
+  if (result.status == 0) machine->contact.unreachable = true;
   const auto heartbeat = wire::decodeHeartbeat(result.body);
   if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
   heartbeats_.apply(*machine, *heartbeat, HeartbeatSource::direct);
-  machine->unreachable = false;
+  machine->contact.unreachable = false;
   // Even without commands the call brings the fencing token.
-  if (!machine->tokenAcknowledged) commands_.markDue(*machine);
+  if (!machine->contact.tokenAcknowledged) commands_.markDue(*machine);
 }
 
 }  // namespace reachhoist::service
