--- a/src/admin/rpc/state_loop.cpp
+++ b/src/admin/rpc/state_loop.cpp
@@ -17,7 +17,7 @@
 StateLoop::StateLoop(const config::Settings& settings)
     : settings_(settings),
       http_(reactor_, kSockets),
-      client_(calls_, settings, constants::kAdminShare),
+      client_(calls_, settings, constants::kAdminBudgetShare),
       status_(client_, shares::kStatusKey, [this](const wire::Json*, std::uint64_t) {
         const std::lock_guard lock(mutex_);
         ++statusChanges_;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -28,7 +28,7 @@
   call.method = method;
   call.path = std::move(path);
   call.body = std::move(body);
-  call.timeout = constants::kCloudTimeout;
+  call.timeout = constants::kCloudCallTimeout;
   calls_.start(std::move(call),
                [done = std::move(done), alive = std::weak_ptr<int>(alive_)](const auto& result) {
                  if (alive.lock()) done(result);
@@ -41,7 +41,7 @@
     auto request = std::make_shared<InstanceRequest>();
     request->name = incarnationName_ + "-" + std::to_string(++counter_);
     request->pool = pool;
-    request->count = std::min(count, constants::kInstanceRequestMax);
+    request->count = std::min(count, constants::kMaxInstancesPerRequest);
     count -= request->count;
     requests_.push_back(request);
   }
@@ -120,7 +120,7 @@
 void Client::sendReleases(Time now) {
   std::vector<std::string> batch;
   for (const std::string& host : releases_) {
-    if (batch.size() == constants::kReleaseRequestMax) break;
+    if (batch.size() == constants::kMaxReleasesPerRequest) break;
     batch.push_back(host);
   }
   releasing_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
@@ -138,7 +138,8 @@
 }
 
 void Client::sendList(Time now) {
-  listing_ = call(now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kListPage),
+  listing_ = call(now, "GET",
+                  "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kInstanceListPageSize),
                   {}, [this](const wire::CallResult& result) { onListPage(result); });
 }
 
@@ -161,7 +162,7 @@
     nextList_ = now_;
     return;
   }
-  nextList_ = now_ + constants::kListEvery;
+  nextList_ = now_ + constants::kInstanceListInterval;
   listAfter_.clear();
   handlers_.listed(std::exchange(listSoFar_, {}));
 }
@@ -171,7 +172,7 @@
     askingCatalog_ = false;
     auto catalog = result.ok() ? wire::decodeCatalog(result.body)
                                : wire::Result<std::vector<wire::MachineType>>::failure("no answer");
-    nextCatalog_ = now_ + (catalog ? constants::kCatalogEvery : constants::kCatalogRetry);
+    nextCatalog_ = now_ + (catalog ? constants::kCatalogInterval : constants::kCatalogRetryInterval);
     if (catalog) handlers_.catalog(std::move(*catalog));
   });
 }
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -39,7 +39,7 @@
     std::function<void(const std::vector<std::string>& hosts)> released;
     // A complete walk through the cloud's instance list, page by page.
     std::function<void(const std::vector<wire::HostEntry>& hosts)> listed;
-    // A fresh catalogue of machine types, fetched at start and then every constants::kCatalogEvery.
+    // A fresh catalogue of machine types, fetched at start and then every constants::kCatalogInterval.
     std::function<void(std::vector<wire::MachineType> catalog)> catalog;
   };
 
@@ -48,7 +48,7 @@
   Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
          Handlers handlers);
 
-  // Scales out by `count` instances of the pool, in requests of at most constants::kInstanceRequestMax.
+  // Scales out by `count` instances of the pool, in requests of at most constants::kMaxInstancesPerRequest.
   void requestInstances(Time now, const PoolKey& pool, std::size_t count);
   // Releases the host (scale-in) at the next tick; retried until the cloud confirms.
   void release(Time now, const std::string& host);
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -12,7 +12,7 @@
     : client_(client),
       settings_(settings),
       handlers_(std::move(handlers)),
-      feed_(client, kPrefix, state::Urgency::lease, constants::kConfirmEvery,
+      feed_(client, kPrefix, state::Urgency::lease, constants::kLeadershipConfirmInterval,
             {[this](const auto& key, const Json* value, std::uint64_t revision) {
                onEntry(key, value, revision);
              },
@@ -52,9 +52,10 @@
   if (layoutRaised() || termRevision_ == 0 || term_ == 0) return std::nullopt;
   return std::pair{
       state::Condition{kTermKey, termRevision_},
-      state::Write{kTermKey,
-                   Json{{"term", term_}, {"parts", partitionCount_}, {"layout", constants::kLayoutGangs}},
-                   std::nullopt}};
+      state::Write{
+          kTermKey,
+          Json{{"term", term_}, {"parts", partitionCount_}, {"layout", constants::kRecordLayoutWithGangs}},
+          std::nullopt}};
 }
 
 void Leadership::onEntry(const std::string& key, const Json* value, std::uint64_t revision) {
@@ -72,7 +73,7 @@
 }
 
 void Leadership::checkLayout(std::uint64_t layout) {
-  if (layout == constants::kLayout || layout == constants::kLayoutGangs) {
+  if (layout == constants::kRecordLayout || layout == constants::kRecordLayoutWithGangs) {
     layout_ = std::max(layout_, layout);
     if (state_ == State::refusing) to(State::observing);
     return;
@@ -105,20 +106,20 @@
 }
 
 void Leadership::pause() {
-  std::uniform_int_distribution<long> spread(0, constants::kElectionSpread.count());
+  std::uniform_int_distribution<long> spread(0, constants::kElectionJitter.count());
   const bool urgent = nextAttemptAt_ == Time{} || now_ >= nextAttemptAt_;
   nextAttemptAt_ = now_ + std::chrono::milliseconds(spread(jitter_)) +
-                   (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetry);
+                   (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetryInterval);
   to(State::waiting);
 }
 
 void Leadership::lease() {
   to(State::leasing);
-  client_.newLease(now_, constants::kLeaderTtl, [this](const wire::CallResult& result) {
+  client_.newLease(now_, constants::kLeaderLeaseTtl, [this](const wire::CallResult& result) {
     if (state_ != State::leasing) return;
     const auto leaseId = wire::countField(result.body, "permit");
     if (!result.ok() || !leaseId) {
-      nextAttemptAt_ = now_ + constants::kElectionRetry;
+      nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
       to(State::waiting);
       return;
     }
@@ -151,7 +152,7 @@
                     // The lease may have run out during the wait. Without an answer the feed tells who leads.
                     if (result.status == 400)
                       leaseId_ = 0;  // it holds only what every limit allows, so it is the lease
-                    nextAttemptAt_ = now_ + constants::kElectionRetry;
+                    nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
                     to(State::waiting);
                     return;
                   }
@@ -161,7 +162,7 @@
                   leaderRevision_ = ownRevision_;
                   termRevision_ = ownRevision_;
                   confirmedAt_ = sent;
-                  nextRenewAt_ = now_ + constants::kLeaderRenew;
+                  nextRenewAt_ = now_ + constants::kLeaderRenewInterval;
                   client_.setLeading(true);
                   partitionRevisions_.assign(partitionsInElection ? partitionCount_ : 0, ownRevision_);
                   to(State::taking);
@@ -202,7 +203,7 @@
 
 void Leadership::abandonTaking() {
   client_.setLeading(false);
-  nextAttemptAt_ = now_ + constants::kElectionRetry;
+  nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
   to(State::waiting);
 }
 
@@ -212,7 +213,7 @@
   client_.touchLease(now_, leaseId_, [this, sent, leaseId = leaseId_](const wire::CallResult& result) {
     renewInFlight_ = false;
     if ((state_ != State::leading && state_ != State::taking) || leaseId != leaseId_) return;
-    nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
+    nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenewInterval : now_ + constants::kStateBackoff);
     if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
     if (result.status == 404 && state_ == State::taking) {
       leaseId_ = 0;
@@ -231,7 +232,7 @@
   if (state_ != State::leading) return;
   client_.endLease(now_, leaseId_);
   depose(why);
-  nextAttemptAt_ = now_ + constants::kStepDownPause;
+  nextAttemptAt_ = now_ + constants::kStepDownCooldown;
 }
 
 void Leadership::resign(const char* why) {
@@ -239,7 +240,7 @@
   to(State::observing);
   client_.setLeading(false);
   handlers_.deposed(why);
-  nextAttemptAt_ = now_ + constants::kElectionRetry;
+  nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
   to(State::waiting);
 }
 
--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -55,7 +55,7 @@
   // What the first record of a kind that earlier versions can't read must be written with: it raises the
   // layout, so that none of them leads from then on. Nothing when that is done or the term is not known.
   // Whether the stored layout is the one with gangs already.
-  bool layoutRaised() const { return layout_ >= constants::kLayoutGangs; }
+  bool layoutRaised() const { return layout_ >= constants::kRecordLayoutWithGangs; }
   std::optional<std::pair<state::Condition, state::Write>> raiseLayout() const;
   // Ownership is proven up to this time.
   Time confirmedAt() const { return confirmedAt_; }
@@ -90,7 +90,7 @@
   std::uint64_t term_ = 0;         // the last one known of
   std::uint64_t ownRevision_ = 0;  // of the leader key as this life wrote it
   unsigned partitionCount_ = 1;
-  std::uint64_t layout_ = constants::kLayout;
+  std::uint64_t layout_ = constants::kRecordLayout;
   std::vector<std::uint64_t> partitionRevisions_;  // of the parts taken so far
   Time retryAcquireAt_{};
   bool acquireInFlight_ = false;
--- a/src/cluster/partitions.cpp
+++ b/src/cluster/partitions.cpp
@@ -17,7 +17,7 @@
 std::string partitionKey(PartitionId part) { return "parts/" + std::to_string(part); }
 
 std::uint64_t token(std::uint64_t term, std::uint64_t fence) {
-  return (term << static_cast<unsigned>(constants::kTokenTermShift)) + fence;
+  return (term << static_cast<unsigned>(constants::kFencingTokenTermShift)) + fence;
 }
 
 }  // namespace reachhoist::cluster
--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -93,7 +93,7 @@
   if (auto problem = setShareNumber(section, "generation", 1, kGenerationMost, generation)) return problem;
   if (generation != std::floor(generation)) return Problem{"shares.generation", "must be a whole number"};
   out.generation = static_cast<std::uint64_t>(generation);
-  if (auto problem = setShareNumber(section, "others", 0, constants::kShareWeightMost, out.othersWeight))
+  if (auto problem = setShareNumber(section, "others", 0, constants::kMaxShareWeight, out.othersWeight))
     return problem;
   if (auto problem = setShareNumber(section, "reclaim_step", kStepLeast, 1, out.reclaimStep)) return problem;
   for (unsigned i = 0; i < cfg_size(section, "group"); ++i) {
@@ -102,7 +102,7 @@
     const std::string path = "shares.group " + line.group + " weight";
     const auto weight = textOf(group, "weight");
     if (!weight) return Problem{path, "is missing"};
-    if (auto problem = readNumber(path, *weight, 0, constants::kShareWeightMost, line.weight)) return problem;
+    if (auto problem = readNumber(path, *weight, 0, constants::kMaxShareWeight, line.weight)) return problem;
     out.groups.push_back(std::move(line));
   }
   return std::nullopt;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -118,19 +118,19 @@
 }
 
 unsigned Settings::ownCallSockets() const {
-  return std::max(constants::kOwnCallsLeast, maxConnections / constants::kOwnCallsDivisor);
+  return std::max(constants::kMinClientSockets, maxConnections / constants::kClientSocketsDivisor);
 }
 
 std::chrono::milliseconds Settings::answerWindow() const {
   // A lease renewed at the very end of the window must have run out, on the slowest clock, within cancel_s.
-  const double windowS = cancelS * (1 - constants::kClockDrift) - leaseS * (1 + constants::kClockDrift);
-  return std::chrono::milliseconds(static_cast<long>(windowS * 1000)) - constants::kLeaseMargin;
+  const double windowS = cancelS * (1 - constants::kMaxClockDrift) - leaseS * (1 + constants::kMaxClockDrift);
+  return std::chrono::milliseconds(static_cast<long>(windowS * 1000)) - constants::kLeaseSafetyMargin;
 }
 
 std::chrono::milliseconds Settings::leaseOver() const {
   return std::chrono::milliseconds(
-             static_cast<long>(std::ceil(leaseS * (1 + 2 * constants::kClockDrift) * 1000))) +
-         constants::kLeaseMargin;
+             static_cast<long>(std::ceil(leaseS * (1 + 2 * constants::kMaxClockDrift) * 1000))) +
+         constants::kLeaseSafetyMargin;
 }
 
 std::optional<Problem> parsePlatform(const std::string& text, Settings& out) {
@@ -215,7 +215,7 @@
   Reader limits = facts.map("limits");
   limits.amount("core_share", out.coreShare, 0.001);
   limits.amount("ram_mb", out.ramMb, 8);
-  limits.count("max_connections", out.maxConnections, constants::kSocketsLeast);
+  limits.count("max_connections", out.maxConnections, constants::kMinConnections);
   facts.amount("clock_off_ms", out.clockOffMs, 0);
   // Without this no answer to a worker could be safe: see docs/safety.md, point 7.
   if (!problem &&
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -48,16 +48,16 @@
 
 // What operators may set themselves; every value has a default.
 struct Operators {
-  double sizingRoundS = 30;
-  double scaleUpCooldownS = 60;
-  double scaleDownCooldownS = 120;
-  int stepDivisor = 8;
+  double sizingRoundS = constants::kDefaultSizingRoundS;
+  double scaleUpCooldownS = constants::kDefaultScaleUpCooldownS;
+  double scaleDownCooldownS = constants::kDefaultScaleDownCooldownS;
+  int stepDivisor = constants::kDefaultStepDivisor;
   double probeChance = 0.15;
   double probeDecay = 0.95;
   double probeFloor = 0.05;
   int episodes = 15;
-  double spareShare = constants::kSpareShare;
-  double reserveShare = constants::kReserveShare;
+  double spareShare = constants::kDefaultHeadroomShare;
+  double reserveShare = constants::kDefaultReserveShare;
   double idleReturnS = 45;
   ShareSettings shares;
 };
@@ -100,8 +100,8 @@
   // How the sockets are shared out: our own calls, of them those to workers at once, and the rest for whom we
   // serve.
   unsigned ownCallSockets() const;
-  unsigned workerCallsMost() const { return ownCallSockets() - constants::kServiceSockets; }
-  unsigned serverSockets() const { return maxConnections - ownCallSockets() - constants::kLinkSockets; }
+  unsigned workerCallsMost() const { return ownCallSockets() - constants::kReservedServiceSockets; }
+  unsigned serverSockets() const { return maxConnections - ownCallSockets() - constants::kPeerLinkSockets; }
 
   // How long after its last confirmed ownership a controller may still answer reports (safety point 7).
   std::chrono::milliseconds answerWindow() const;
--- a/src/fleet/boot_times.cpp
+++ b/src/fleet/boot_times.cpp
@@ -20,7 +20,7 @@
 void BootHistory::add(const Key& key, Boot boot) {
   auto& boots = records_[key];
   boots.push_back(boot);
-  if (boots.size() > constants::kBootsRemembered) boots.pop_front();
+  if (boots.size() > constants::kMaxBootsPerPool) boots.pop_front();
 }
 
 wire::Duration BootHistory::medianBootTime(const Key& key, Time now) const {
@@ -28,9 +28,9 @@
   if (found == records_.end()) return {};
   std::vector<Duration> recent;
   for (const Boot& boot : found->second)
-    if (boot.succeeded && now - boot.recordedAt < constants::kBootMemory)
+    if (boot.succeeded && now - boot.recordedAt < constants::kBootHistoryWindow)
       recent.push_back(boot.startupLatency);
-  if (recent.size() < constants::kBootsTelling) return {};
+  if (recent.size() < constants::kMinBootSamples) return {};
   const auto middle = recent.begin() + static_cast<std::ptrdiff_t>(recent.size() / 2);
   std::nth_element(recent.begin(), middle, recent.end());
   return *middle;
@@ -38,17 +38,17 @@
 
 wire::Duration BootHistory::expectedBootTime(const std::string& machineType, const std::string& zone,
                                              double bootS, Time now) const {
-  const auto usual = wire::seconds(bootS * constants::kBootUsual);
-  return std::max(usual, wire::seconds(constants::kBootSpread *
+  const auto usual = wire::seconds(bootS * constants::kExpectedBootFactor);
+  return std::max(usual, wire::seconds(constants::kMedianBootExpectedFactor *
                                        wire::toSeconds(medianBootTime({machineType, zone}, now)))) +
-         constants::kBootSlack;
+         constants::kFirstHeartbeatSlack;
 }
 
 wire::Duration BootHistory::bootTimeout(const std::string& machineType, const std::string& zone, double bootS,
                                         Time now) const {
   const Duration usual =
-      std::max<Duration>(constants::kBootPatienceLeast, wire::seconds(bootS * constants::kBootPatience));
-  return std::max(usual, constants::kBootPatienceTimes * medianBootTime({machineType, zone}, now));
+      std::max<Duration>(constants::kMinBootTimeout, wire::seconds(bootS * constants::kBootTimeoutFactor));
+  return std::max(usual, constants::kMedianBootTimeoutFactor * medianBootTime({machineType, zone}, now));
 }
 
 double BootHistory::costFactor(const std::string& machineType, const std::string& zone, Time now) const {
@@ -57,7 +57,7 @@
   double up = 0;
   double all = 0;
   for (const Boot& boot : found->second) {
-    if (now - boot.recordedAt >= constants::kBootMemory) continue;
+    if (now - boot.recordedAt >= constants::kBootHistoryWindow) continue;
     ++all;
     if (boot.succeeded) ++up;
   }
@@ -79,10 +79,10 @@
   std::size_t booting = 0;
   for (const Launch& other : found->second) {
     const auto apart = other.requestedAt - machine.provisionedAt;
-    if (apart < -constants::kBootCohort || apart > constants::kBootCohort) continue;
+    if (apart < -constants::kBootCohortWindow || apart > constants::kBootCohortWindow) continue;
     ++(other.up ? up : booting);
   }
-  return up > booting || up + booting < constants::kBootsTelling;
+  return up > booting || up + booting < constants::kMinBootSamples;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/boot_times.hpp
+++ b/src/fleet/boot_times.hpp
@@ -12,7 +12,7 @@
 
 namespace reachhoist::fleet {
 
-// Recent boots per machine type and zone, forgotten after constants::kBootMemory.
+// Recent boots per machine type and zone, forgotten after constants::kBootHistoryWindow.
 class BootHistory {
  public:
   using Time = wire::Time;
--- a/src/fleet/episodes.cpp
+++ b/src/fleet/episodes.cpp
@@ -51,7 +51,7 @@
   std::erase_if(points_,
                 [&](const Point& other) { return point.wait <= other.wait && point.cost <= other.cost; });
   points_.push_back(point);
-  if (points_.size() > k::kFrontierMost) points_.erase(points_.begin());
+  if (points_.size() > k::kMaxFrontierPoints) points_.erase(points_.begin());
 }
 
 Point normalised(const Outcome& outcome) {
@@ -69,9 +69,10 @@
   const double magnitude = std::abs(outcome.units) + (outcome.units != 0 ? 0.5 : 0.0);
   const double proactive = severity * magnitude * k::kProactiveWeight;
   const Point point = normalised(outcome);
-  const double pareto = frontier.nonDominated(point) ? 1 + frontier.contribution(point)
-                                                     : k::kDominatedPayoff / (1 + frontier.distance(point));
-  return std::clamp(wait + cost + penalty + proactive + pareto, -k::kPayoffMost, k::kPayoffMost);
+  const double pareto = frontier.nonDominated(point)
+                            ? 1 + frontier.contribution(point)
+                            : k::kMaxDominatedPayoff / (1 + frontier.distance(point));
+  return std::clamp(wait + cost + penalty + proactive + pareto, -k::kMaxPayoff, k::kMaxPayoff);
 }
 
 double similarity(const Context& a, const Context& b) {
@@ -83,7 +84,7 @@
 void EpisodeBuffer::add(const Episode& episode) {
   if (episode.payoff <= 0) return;
   episodes_.push_back(episode);
-  if (episodes_.size() > k::kBufferMost) episodes_.erase(episodes_.begin());
+  if (episodes_.size() > k::kMaxEpisodes) episodes_.erase(episodes_.begin());
 }
 
 std::vector<double> EpisodeBuffer::relevance(const Context& now) const {
@@ -128,7 +129,7 @@
   std::map<int, std::size_t> support;
   for (const Episode& episode : retrieved) {
     const double close = similarity(episode.context, now);
-    if (close < k::kCloseEnough) continue;
+    if (close < k::kMinSimilarity) continue;
     sums[episode.units].first += close * episode.payoff;
     sums[episode.units].second += close;
     ++support[episode.units];
@@ -155,7 +156,7 @@
 }
 
 bool EpisodeBuffer::decode(const Json& value) {
-  if (!value.is_array() || value.size() > k::kBufferMost) return false;
+  if (!value.is_array() || value.size() > k::kMaxEpisodes) return false;
   std::vector<Episode> read;
   for (const Json& entry : value) {
     if (!entry.is_array() || entry.size() != kFeatures + 2 || !entry[0].is_number_integer()) return false;
@@ -165,8 +166,8 @@
     episode.units = entry[0].get<int>();
     episode.payoff = entry[1].get<double>();
     for (std::size_t i = 0; i < kFeatures; ++i) episode.context[i] = entry[i + 2].get<double>();
-    if (episode.units < k::kStepLeast || episode.units > k::kStepMost || episode.payoff <= 0 ||
-        episode.payoff > k::kPayoffMost)
+    if (episode.units < k::kMinStepUnits || episode.units > k::kMaxStepUnits || episode.payoff <= 0 ||
+        episode.payoff > k::kMaxPayoff)
       return false;
     read.push_back(episode);
   }
--- a/src/fleet/episodes.hpp
+++ b/src/fleet/episodes.hpp
@@ -31,7 +31,7 @@
   double cost = 0;
 };
 
-// The non-dominated points of normalised wait and cost, at most constants::kFrontierMost.
+// The non-dominated points of normalised wait and cost, at most constants::kMaxFrontierPoints.
 class ParetoFrontier {
  public:
   // Whether no point of the frontier dominates this one.
@@ -67,13 +67,13 @@
 // The outcome's wait and cost after the step, normalised to 0..1.
 Point normalised(const Outcome& outcome);
 // The step's payoff: wait drop, cost rise, the penalty past the target, acting early, and the frontier bonus;
-// clamped to +-constants::kPayoffMost.
+// clamped to +-constants::kMaxPayoff.
 double payoff(const Outcome& outcome, const ParetoFrontier& frontier);
 
 // Gaussian kernel of the contexts' distance, 0..1.
 double similarity(const Context& a, const Context& b);
 
-// The buffer of successful episodes, at most constants::kBufferMost.
+// The buffer of successful episodes, at most constants::kMaxEpisodes.
 class EpisodeBuffer {
  public:
   // Only successes are stored; the oldest leave when the buffer is full.
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -57,13 +57,13 @@
 // end.
 bool isMovable(const FleetWorld& world, const Machine& machine, const ConsolidationPool& pool) {
   // An empty one is for the idle scale-in.
-  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kConsolidateMinAge)
+  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kConsolidationMinAge)
     return false;
   for (const machines::Attempt& attempt : machine.attempts) {
     if (attempt.phase == AttemptPhase::ended) continue;
     if (attempt.phase != AttemptPhase::running || attempt.stopWanted) return false;
     if (!attempt.isService) continue;
-    if (world.now - attempt.runningSince < constants::kConsolidateMinAge) return false;
+    if (world.now - attempt.runningSince < constants::kConsolidationMinAge) return false;
     if (!fitsElsewhere(attempt, machine, pool)) return false;
   }
   return true;
@@ -71,7 +71,7 @@
 
 // Picks the pool's machines to consolidate, least used first, and appends them to `out`.
 void consolidate(const FleetWorld& world, ConsolidationPool& pool, std::vector<Machine*>& out) {
-  const std::size_t most = 1 + pool.up.size() / constants::kConsolidateDivisor;
+  const std::size_t most = 1 + pool.up.size() / constants::kConsolidationDivisor;
   const double headroomCpus = pool.productionCpus * world.settings.operators.spareShare;
   std::sort(pool.up.begin(), pool.up.end(), [](const Machine* a, const Machine* b) {
     return a->freeCapacity().vcpus > b->freeCapacity().vcpus;
@@ -81,9 +81,9 @@
     // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
     // loss of one uses up nothing that the next services need.
     const double used = machine->total.vcpus - machine->freeCapacity().vcpus;
-    if (used > machine->total.vcpus * constants::kConsolidateMaxUsage) break;
+    if (used > machine->total.vcpus * constants::kConsolidationMaxUsage) break;
     if (pool.freeCpus - machine->total.vcpus <
-        headroomCpus + constants::kConsolidateSpareMachines * machine->total.vcpus)
+        headroomCpus + constants::kConsolidationSpareMachines * machine->total.vcpus)
       break;
     if (!isMovable(world, *machine, pool)) continue;
     pool.freeCpus -= machine->total.vcpus;
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -9,19 +9,19 @@
 namespace {
 constexpr double kLowShare = 0.5;  // a pool less busy than this, without a queue, is a unit too large
 
-double targetS() { return wire::toSeconds(constants::kQueueTarget); }
+double targetS() { return wire::toSeconds(constants::kQueueWaitTarget); }
 }  // namespace
 
 double sizeFeature(int machines) {
-  const double share = machines / constants::kPoolSmall;
-  return share <= 1 ? share : 1 + std::log2(share) / constants::kPoolDoublings;
+  const double share = machines / constants::kSmallPoolMachines;
+  return share <= 1 ? share : 1 + std::log2(share) / constants::kSizeFeatureDoublings;
 }
 
 int unitOf(int machines, int divisor) { return std::max(1, machines / std::max(1, divisor)); }
 
 // The validator: the nearest step that the limits and cooldowns allow.
 int Sizing::clamp(const PoolView& pool, const PoolState& state, int units, Time now) const {
-  units = std::clamp(units, constants::kStepLeast, constants::kStepMost);
+  units = std::clamp(units, constants::kMinStepUnits, constants::kMaxStepUnits);
   if (units > 0 &&
       (pool.refused || (state.lastScaleOut != Time{} &&
                         now - state.lastScaleOut < wire::seconds(settings_.operators.scaleUpCooldownS))))
@@ -42,7 +42,7 @@
 Context Sizing::contextOf(const PoolView& pool) const {
   const double machines = std::max(1, pool.machines);
   const auto scaled = [](double value, double most) { return std::clamp(value / most, 0.0, 1.0); };
-  return Context{scaled(pool.queueWaitS, constants::kWaitMostTargets * targetS()),
+  return Context{scaled(pool.queueWaitS, constants::kMaxWaitTargets * targetS()),
                  scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idle / machines,
                  sizeFeature(pool.machines)};
 }
@@ -62,8 +62,9 @@
 
 Sizing::Decision Sizing::decide(const PoolView& pool, const Context& context) {
   if (std::bernoulli_distribution(probeChance_)(random_)) {
-    return Decision{std::uniform_int_distribution<int>(constants::kStepLeast, constants::kStepMost)(random_),
-                    "probe"};
+    return Decision{
+        std::uniform_int_distribution<int>(constants::kMinStepUnits, constants::kMaxStepUnits)(random_),
+        "probe"};
   }
   const auto retrieved = buffer_.retrieve(context, static_cast<std::size_t>(settings_.operators.episodes));
   if (const auto choice = choose(retrieved, context))
@@ -75,16 +76,17 @@
 Outcome Sizing::outcomeBefore(const PoolView& pool, int units) const {
   Outcome before;
   before.waitBeforeS = pool.queueWaitS;
-  before.waitBaselineS = constants::kWaitMostTargets * targetS();
+  before.waitBaselineS = constants::kMaxWaitTargets * targetS();
   before.waitMostS = before.waitBaselineS;
   before.targetS = targetS();
   before.costBefore = pool.machines * pool.ratePerHour;
   // A step of a large pool is weighed against that pool: against a few machines' money any would look
   // ruinous.
   const double rate = std::max(pool.ratePerHour, 1e-6);
-  before.costBudget = std::max<double>(constants::kPoolSmall, pool.machines) * rate;
-  const double grown = pool.machines * (1.0 + 1.0 * constants::kStepMost / constants::kStepDivisor);
-  before.costMost = std::max(constants::kPoolSmall, grown) * rate;
+  before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * rate;
+  const double grown =
+      pool.machines * (1.0 + 1.0 * constants::kMaxStepUnits / constants::kDefaultStepDivisor);
+  before.costMost = std::max(constants::kSmallPoolMachines, grown) * rate;
   before.units = units;
   return before;
 }
@@ -127,7 +129,7 @@
   Json points = Json::array();
   for (const Point& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
   Json out{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
-  for (std::size_t most = constants::kCopyMost; most > 0; most /= 2) {
+  for (std::size_t most = constants::kMaxStoredEpisodes; most > 0; most /= 2) {
     out["episodes"] = buffer_.encode(most);
     if (out.dump().size() <= valueSizeLimit) break;
     out["episodes"] = Json::array();
@@ -140,7 +142,7 @@
   const Json* points = wire::field(value, "frontier");
   const auto probe = wire::amountField(value, "probe");
   if (episodes == nullptr || points == nullptr || !points->is_array() ||
-      points->size() > constants::kFrontierMost || !probe || *probe > 1)
+      points->size() > constants::kMaxFrontierPoints || !probe || *probe > 1)
     return false;
   std::vector<Point> read;
   for (const Json& point : *points) {
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -51,8 +51,8 @@
   ++partialScaleOuts;
   // Another pool may have what the first one lacked.
   if (partialScaleOuts == 1) return;
-  const auto pause = constants::kRefusedPause * (1 << std::min(partialScaleOuts - 2, 6));
-  nextScaleOut = now + std::min<std::chrono::milliseconds>(pause, constants::kGangScaleOutBackoffMax);
+  const auto pause = constants::kRefusedPoolBackoff * (1 << std::min(partialScaleOuts - 2, 6));
+  nextScaleOut = now + std::min<std::chrono::milliseconds>(pause, constants::kMaxGangScaleOutBackoff);
 }
 
 std::string jobKey(const std::string& ref) { return "jobs/" + ref; }
@@ -107,8 +107,8 @@
 }
 
 std::string Job::doneChunk(std::uint32_t chunk) const {
-  const std::uint32_t begin = chunk * constants::kDoneChunk;
-  const std::uint32_t end = std::min(spec.taskCount, begin + constants::kDoneChunk);
+  const std::uint32_t begin = chunk * constants::kTasksPerDoneChunk;
+  const std::uint32_t end = std::min(spec.taskCount, begin + constants::kTasksPerDoneChunk);
   std::string hex;
   for (std::uint32_t at = begin; at < end; at += 4) {
     unsigned nibble = 0;
@@ -120,8 +120,10 @@
 }
 
 bool Job::loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now) {
-  const std::uint32_t begin = chunk * constants::kDoneChunk;
-  if (chunk > spec.taskCount / constants::kDoneChunk || hex.size() > constants::kDoneChunk / 4) return false;
+  const std::uint32_t begin = chunk * constants::kTasksPerDoneChunk;
+  if (chunk > spec.taskCount / constants::kTasksPerDoneChunk ||
+      hex.size() > constants::kTasksPerDoneChunk / 4)
+    return false;
   for (std::size_t i = 0; i < hex.size(); ++i) {
     const int nibble = hexValue(hex[i]);
     if (nibble < 0) return false;
--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -32,7 +32,7 @@
       if (errno == EAGAIN || errno == EWOULDBLOCK) {
         co_await listener_->readable(Time::max());
       } else {
-        co_await reactor_.sleepUntil(reactor_.now() + constants::kTick);
+        co_await reactor_.sleepUntil(reactor_.now() + constants::kTickInterval);
       }
       continue;
     }
@@ -53,7 +53,7 @@
       std::size_t size = 0;
       for (std::size_t i = 0; i < kPrefix; ++i)
         size |= std::size_t{static_cast<unsigned char>(buffer[i])} << (8 * i);
-      if (size > constants::kMaxFrameBytes) {
+      if (size > constants::kMaxPeerFrameBytes) {
         good = false;
         break;
       }
@@ -70,8 +70,8 @@
 }
 
 void FrameSender::send(const std::string& frame) {
-  if (frame.size() > constants::kMaxFrameBytes) return;
-  if (backlogBytes_ + frame.size() > constants::kMaxPeerBacklog) return;
+  if (frame.size() > constants::kMaxPeerFrameBytes) return;
+  if (backlogBytes_ + frame.size() > constants::kMaxPeerBacklogBytes) return;
   std::string prefixed;
   prefixed.reserve(kPrefix + frame.size());
   for (std::size_t i = 0; i < kPrefix; ++i)
@@ -98,7 +98,7 @@
         // What waited for a link that can't be made is too old to be of use.
         backlog_.clear();
         backlogBytes_ = 0;
-        co_await reactor_.sleepUntil(reactor_.now() + constants::kPeerRetry);
+        co_await reactor_.sleepUntil(reactor_.now() + constants::kPeerRetryInterval);
         continue;
       }
     }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 HttpClient::HttpClient(Reactor& reactor, std::size_t socketsMost)
-    : reactor_(reactor), pool_(socketsMost, constants::kPoolPerEndpoint, constants::kPoolIdle) {}
+    : reactor_(reactor), pool_(socketsMost, constants::kMaxIdlePerEndpoint, constants::kClientIdleTimeout) {}
 
 std::unique_ptr<Socket> HttpClient::takePooled(const std::string& endpoint) {
   for (;;) {
@@ -55,7 +55,7 @@
   result.sent = true;
   const std::string text = formatRequest(method, target, endpoint, body);
   if (!co_await socket->writeAll(text.data(), text.size(), deadline)) co_return result;
-  HttpParser parser(HttpParser::Kind::answer, constants::kMaxAnswerBytes);
+  HttpParser parser(HttpParser::Kind::answer, constants::kMaxResponseBytes);
   std::array<char, kReadChunk> chunk;
   while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
     const std::size_t got = co_await socket->read(chunk.data(), chunk.size(), deadline);
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -68,7 +68,7 @@
   Connection& connection = *at;
   HttpParser parser(HttpParser::Kind::request, constants::kMaxBodyBytes);
   std::array<char, kReadChunk> chunk;
-  Time deadline = reactor_.now() + constants::kHeadTimeout;
+  Time deadline = reactor_.now() + constants::kRequestReadTimeout;
   for (;;) {
     while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
       const std::size_t got = co_await connection.socket->read(chunk.data(), chunk.size(), deadline);
@@ -76,14 +76,14 @@
       // The clock of a request starts with its first byte, so that a trickle can't hold a connection.
       if (connection.idle) {
         connection.idle = false;
-        deadline = reactor_.now() + constants::kHeadTimeout;
+        deadline = reactor_.now() + constants::kRequestReadTimeout;
       }
       parser.feed({chunk.data(), got});
     }
     if (parser.state() == HttpParser::State::failed) {
       const std::string text = formatAnswer(parser.failureStatus(), {}, std::nullopt, false);
       co_await connection.socket->writeAll(text.data(), text.size(),
-                                           reactor_.now() + constants::kHeadTimeout);
+                                           reactor_.now() + constants::kRequestReadTimeout);
       co_return;
     }
     const std::uint64_t number = nextNumber_++;
@@ -101,11 +101,12 @@
     const HttpAnswer answer = std::move(*pending.answer);
     pending_.erase(number);
     const std::string text = formatAnswer(answer.status, answer.body, answer.retryAfterS, keepAlive);
-    const Time limit = reactor_.now() + constants::kHeadTimeout;
+    const Time limit = reactor_.now() + constants::kRequestReadTimeout;
     if (!co_await connection.socket->writeAll(text.data(), text.size(), limit) || !keepAlive) co_return;
     parser.next();
     connection.idle = parser.idle();
-    deadline = reactor_.now() + (connection.idle ? constants::kIdleTimeout : constants::kHeadTimeout);
+    deadline =
+        reactor_.now() + (connection.idle ? constants::kServerIdleTimeout : constants::kRequestReadTimeout);
     // Most recently used last.
     connections_.splice(connections_.end(), connections_, at);
   }
--- a/src/placement/gangs.cpp
+++ b/src/placement/gangs.cpp
@@ -8,7 +8,8 @@
 namespace reachhoist::placement {
 
 bool Round::isReachable(const Machine& machine) const {
-  const auto overdue = wire::seconds(world_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
+  const auto overdue =
+      wire::seconds(world_.settings.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   return machine.tokenAcknowledged && !machine.unreachable && world_.now - machine.lastHeartbeatAt <= overdue;
 }
 
@@ -54,8 +55,9 @@
   // Broken-up room never adds up to a gang while other work keeps taking it: what there is in the best
   // zone, and of the team's limit, is held for a bounded time, and again once the gang has waited too long.
   const auto waited = world_.now - job.waitingSince;
-  const bool holds = reservedGangs_ < constants::kGangsHeld &&
-                     (waited <= constants::kGangHold || waited >= constants::kOverlookedAfter);
+  const bool holds =
+      reservedGangs_ < constants::kMaxGangReservations &&
+      (waited <= constants::kGangReservationTimeout || waited >= constants::kStarvationTimeout);
   if (!withinLimit(job, job.spec.taskCount)) {
     if (!holds) return;
     ++reservedGangs_;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -56,8 +56,8 @@
   std::vector<const Job*> open;    // all open ones
   std::vector<Machine*> machines;  // all that are not gone
   std::size_t maxJobs = 30;        // conditions left for jobs in one transaction
-  std::size_t maxTasks = constants::kTasksPerRound;
-  std::size_t maxStops = constants::kStopsPerRound;
+  std::size_t maxTasks = constants::kMaxTasksPerRound;
+  std::size_t maxStops = constants::kMaxStopsPerRound;
   const shares::Table* shares = nullptr;  // none: nothing is divided
   bool mayPreemptForShares = false;       // whether this round may stop work for the sake of shares
 };
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -103,8 +103,9 @@
 double Round::loss(const machines::Attempt& attempt) const {
   // It would stop its whole gang.
   if (attempt.gang) {
-    const double stopS =
-        unreachableGangs_.contains(attempt.number) ? constants::kUnreachableGangS : constants::kGangLossS;
+    const double stopS = unreachableGangs_.contains(attempt.number)
+                             ? constants::kUnreachableGangPreemptionCostS
+                             : constants::kGangPreemptionCostS;
     return stopS + wire::toSeconds(world_.now - attempt.placedAt);
   }
   if (attempt.phase != machines::AttemptPhase::running) return 0;
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -65,7 +65,7 @@
   // Heard from in both directions under this term: what is known of it from records, late copies of reports
   // or one direction alone is no reason to give it work.
   if (!machine.tokenAcknowledged || machine.suspectUntil > world_.now) return false;
-  const auto silent = wire::seconds(world_.settings.heartbeatIntervalS * constants::kSilentHeartbeats);
+  const auto silent = wire::seconds(world_.settings.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
   return world_.now - machine.lastHeartbeatAt <= silent && !machine.spotNoticeAt;
 }
 
@@ -83,7 +83,7 @@
   const SloOutlook outlook = sloOutlook(job, world_.settings, world_.wallMs);
   if (withinGuarantee(job.spec.ref.text)) return Turn{&job, Tier::guaranteed, outlook.latestStartMs};
   if (shareAccount_ && shareAccount_->mustGoOn(job)) return Turn{&job, Tier::overlooked, job.acceptedMs};
-  if (world_.now - job.lastPlaced > constants::kOverlookedAfter)
+  if (world_.now - job.lastPlaced > constants::kStarvationTimeout)
     return Turn{&job, Tier::overlooked, job.acceptedMs};
   return Turn{&job, outlook.reachable ? Tier::reachable : Tier::late, outlook.latestStartMs};
 }
@@ -113,13 +113,13 @@
   if (!machine.has(job.spec.image)) {
     const double fetch = job.spec.sizeGb / std::max(machine.pullGbPerS, 0.01);
     const bool shared = bin.brings(job.spec.image) || machine.fetching(job.spec.image);
-    seconds += shared ? fetch * constants::kSharedFetchS : fetch;
+    seconds += shared ? fetch * constants::kSharedFetchCostShare : fetch;
   }
-  if (job.spec.spot && !machine.spot) seconds += constants::kWrongKindS;
+  if (job.spec.spot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
   const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, 0.01);
-  seconds +=
-      (job.spec.priority >= wire::Priority::high ? constants::kEmptyServiceS : constants::kEmptyArrayS) *
-      (1 - used);
+  seconds += (job.spec.priority >= wire::Priority::high ? constants::kEmptyMachineServicePenaltyS
+                                                        : constants::kEmptyMachineArrayPenaltyS) *
+             (1 - used);
   return seconds;
 }
 
@@ -203,7 +203,7 @@
 
 std::uint32_t Round::mostOf(const Turn& turn) {
   const std::uint32_t waiting = turn.job->waiting;
-  return turn.tier == Tier::overlooked ? std::max(1U, waiting / constants::kOverlookedShare) : waiting;
+  return turn.tier == Tier::overlooked ? std::max(1U, waiting / constants::kStarvedJobDivisor) : waiting;
 }
 
 // Only what the team's limit lets start is asked of sizing.
@@ -216,9 +216,9 @@
 }
 
 void Round::tryAgain(Job& job) {
-  if (job.placed >= constants::kWrongJobTrial || jobs_ >= world_.maxJobs) return;
+  if (job.placed >= constants::kFaultyJobTrialTasks || jobs_ >= world_.maxJobs) return;
   Fill progress{job.firstWaiting, 0, FillLimit::none};
-  fill(job, constants::kWrongJobTrial - job.placed, BeyondShare::no, progress);
+  fill(job, constants::kFaultyJobTrialTasks - job.placed, BeyondShare::no, progress);
   if (progress.taken > 0) ++jobs_;
 }
 
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -47,7 +47,7 @@
     }
   }
   if (job.spec.dueS && !due) consider(*job.spec.dueS - expectS * runs);
-  if (!any) consider(wire::toSeconds(constants::kDefaultStartObjective));
+  if (!any) consider(wire::toSeconds(constants::kDefaultStartSlo));
   const bool reachable = std::isfinite(best);
   return SloOutlook{reachable, job.acceptedMs + (reachable ? static_cast<std::int64_t>(best * 1000) : 0)};
 }
--- a/src/service/completion_records.cpp
+++ b/src/service/completion_records.cpp
@@ -25,7 +25,7 @@
 }
 
 void CompletionRecords::completed(const wire::TaskId& task) {
-  jobs_.find(task.job.text)->dirtyChunks.insert(task.index / constants::kDoneChunk);
+  jobs_.find(task.job.text)->dirtyChunks.insert(task.index / constants::kTasksPerDoneChunk);
   markDirty(task.job.text);
 }
 
@@ -37,7 +37,7 @@
 bool CompletionRecords::isDurable(const wire::TaskId& task) const {
   const jobs::Job* job = jobs_.find(task.job.text);
   if (job == nullptr || !job->open()) return true;
-  const std::uint32_t chunk = task.index / constants::kDoneChunk;
+  const std::uint32_t chunk = task.index / constants::kTasksPerDoneChunk;
   return !job->dirtyChunks.contains(chunk) && !inFlight_.contains({task.job.text, chunk}) && !job->finished();
 }
 
@@ -92,7 +92,7 @@
   // Paced, so that less urgent writing gets its turn: what is lost without it is little, since a completed
   // task that is started again ends at once.
   if (progressLane_.busy() || dirty_.empty() || context_.now < nextProgress_) return;
-  nextProgress_ = context_.now + constants::kProgressGap;
+  nextProgress_ = context_.now + constants::kProgressWriteInterval;
   state::Transaction transaction;
   std::vector<std::pair<std::string, std::uint32_t>> chunks;
   const std::size_t most = context_.settings.stateTxnOps;
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -27,8 +27,8 @@
       context_(settings, level, std::move(sink)),
       jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::place,
                wire::seconds(1.0 / (settings.stateRps *
-                                    std::min(constants::kPollShare,
-                                             constants::kPollsShare /
+                                    std::min(constants::kMaxPollBudgetShare,
+                                             constants::kTotalPollBudgetShare /
                                                  static_cast<double>(settings.siblings.size() + 1)))),
                {[this](const auto& key, const Json* value, std::uint64_t revision) {
                   onJob(key, value, revision);
@@ -49,7 +49,7 @@
                    },
                    [this](std::uint64_t layout) {
                      context_.event(Level::error, "layout_refused",
-                                    {{"found", layout}, {"readable", constants::kLayout}});
+                                    {{"found", layout}, {"readable", constants::kRecordLayout}});
                    }}),
       jobApi_(context_, jobFeed_, jobs_, leadership_,
               [this](auto change, const std::string& ref) { applied(change, ref); }) {
@@ -60,7 +60,7 @@
   context_.now = now;
   context_.wallMs = wallMs;
   const Time before = std::exchange(lastActive_, now);
-  if (before != Time{} && now - before > constants::kStandstill) resumed(now - before);
+  if (before != Time{} && now - before > constants::kStallThreshold) resumed(now - before);
 }
 
 void Controller::resumed(wire::Duration away) {
@@ -96,7 +96,7 @@
   leadership_.tick(now);
   // The leader's window for answering workers rests on this read as well as on the lease.
   if (leader_ && now >= nextConfirm_) {
-    nextConfirm_ = now + constants::kConfirmEvery;
+    nextConfirm_ = now + constants::kLeadershipConfirmInterval;
     jobFeed_.confirm(now, [](bool) {});
   }
   jobFeed_.tick(now);
@@ -105,8 +105,9 @@
   if (leader_) leader_->tick();
   fetchCatalog();
   if (now >= nextHeartbeat_) sendHeartbeat();
-  std::erase_if(relayRoutes_,
-                [now](const auto& entry) { return now - entry.second.lastSeen > 2 * constants::kRelayFor; });
+  std::erase_if(relayRoutes_, [now](const auto& entry) {
+    return now - entry.second.lastSeen > 2 * constants::kMaxRelayDuration;
+  });
   for (auto relay = relays_.begin(); relay != relays_.end();) {
     if (relay->second.deadline > now) {
       ++relay;
@@ -213,14 +214,14 @@
   // it can't reach the leader, but perhaps we can. Now and then it is sent back, in case the way is open
   // again.
   const bool left = heartbeat.token >= cluster::token(leadership_.term(), 0) ||
-                    context_.now - route.redirectedAt < constants::kRelayMemory;
+                    context_.now - route.redirectedAt < constants::kRedirectMemory;
   const bool enough =
-      route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kRelayFor;
+      route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kMaxRelayDuration;
   if (left && !enough) {
     // Without a link to the leader there is no way round through us either, but perhaps through the next
     // controller. Sent back to the leader, the worker would come to us again and again.
     const auto heard = heard_.find(leader);
-    if (heard == heard_.end() || context_.now - heard->second.at >= constants::kHeartbeatFresh)
+    if (heard == heard_.end() || context_.now - heard->second.at >= constants::kPeerHeartbeatTimeout)
       return context_.later(request);
     if (route.relayedSince == Time{}) route.relayedSince = context_.now;
     const std::uint64_t number = nextRelay_++;
@@ -292,11 +293,11 @@
 }
 
 bool Controller::isIsolated() const {
-  if (settings_.siblings.empty() || context_.now - jobFeed_.confirmedAt() < constants::kIsolatedAfter)
+  if (settings_.siblings.empty() || context_.now - jobFeed_.confirmedAt() < constants::kStateIsolationTimeout)
     return false;
   bool silent = true;
   for (const auto& [label, heard] : heard_) {
-    if (context_.now - heard.at > constants::kHeartbeatFresh) continue;
+    if (context_.now - heard.at > constants::kPeerHeartbeatTimeout) continue;
     if (heard.confirmed) return true;
     silent = false;
   }
@@ -308,16 +309,16 @@
 }
 
 void Controller::sendHeartbeat() {
-  nextHeartbeat_ = context_.now + constants::kHeartbeatEvery;
+  nextHeartbeat_ = context_.now + constants::kPeerHeartbeatInterval;
   const peer::Heartbeat heartbeat{leadership_.term(), leadership_.leading(),
-                                  context_.now - jobFeed_.confirmedAt() < constants::kHeartbeatFresh};
+                                  context_.now - jobFeed_.confirmedAt() < constants::kPeerHeartbeatTimeout};
   for (const config::Sibling& sibling : settings_.siblings)
     context_.peerOut.push_back(PeerSend{sibling.label, peer::Message{settings_.label, heartbeat}});
   if (!leader_) return;
   const peer::Progress progress = leader_->progress(++heartbeats_ % kFullHeartbeats == 0);
   // In parts, since a frame that is too large would be dropped whole, each time again.
-  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kProgressJobs) {
-    const std::size_t to = std::min(progress.jobs.size(), from + constants::kProgressJobs);
+  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kMaxJobsPerProgressMessage) {
+    const std::size_t to = std::min(progress.jobs.size(), from + constants::kMaxJobsPerProgressMessage);
     const auto begin = progress.jobs.begin();
     const peer::Progress part{
         progress.term, {begin + static_cast<std::ptrdiff_t>(from), begin + static_cast<std::ptrdiff_t>(to)}};
@@ -337,10 +338,10 @@
   call.endpoint = settings_.cloudEndpoint;
   call.method = "GET";
   call.path = "/catalog";
-  call.timeout = constants::kCloudTimeout;
+  call.timeout = constants::kCloudCallTimeout;
   context_.calls.start(std::move(call), [this](const wire::CallResult& result) {
     askingCatalog_ = false;
-    nextCatalog_ = context_.now + constants::kCatalogRetry;
+    nextCatalog_ = context_.now + constants::kCatalogRetryInterval;
     auto catalog = wire::decodeCatalog(result.body);
     if (result.ok() && catalog) {
       context_.catalog = std::move(*catalog);
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -36,7 +36,7 @@
   void onRequest(Time now, std::int64_t wallMs, const Request& request);
   void onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result);
   void onPeer(Time now, std::int64_t wallMs, const peer::Message& message);
-  // To be called every constants::kTick.
+  // To be called every constants::kTickInterval.
   void tick(Time now, std::int64_t wallMs);
   Actions drain();
 
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -95,7 +95,7 @@
     jobs::Job probe;
     probe.spec = *spec;
     if (static_cast<double>(jobs::encodeOpen(probe).dump().size()) >
-        context_.settings.stateValueKb * 1024 * constants::kValueFill)
+        context_.settings.stateValueKb * 1024 * constants::kMaxValueFill)
       return refuse(request, ref, 422, "too large to be stored");
     Submission& submission = submissions_[ref];
     const bool fresh = submission.requests.empty();
@@ -189,7 +189,7 @@
     // The term's record had moved: the feed tells within moments.
     if (failed != nullptr &&
         std::find(failed->begin(), failed->end(), Json(cluster::kTermKey)) != failed->end())
-      resumeAt_ = context_.now + constants::kTick;
+      resumeAt_ = context_.now + constants::kTickInterval;
     for (const std::string& ref : refs) {
       const bool known = failed != nullptr && failed->is_array() &&
                          std::find(failed->begin(), failed->end(), Json(jobs::jobKey(ref))) != failed->end();
@@ -206,7 +206,7 @@
     return;
   }
   if (result.status == 429) {
-    resumeAt_ = context_.now + 2 * constants::kTick;
+    resumeAt_ = context_.now + 2 * constants::kTickInterval;
     for (const std::string& ref : refs) {
       if (submissions_[ref].deadline <= resumeAt_) {
         giveUp(ref);
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -11,7 +11,7 @@
 constexpr const char* kSizingStateKey = "fleet/learned";
 
 std::size_t maxValueBytes(const config::Settings& settings) {
-  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kBatchFill);
+  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kMaxBatchFill);
 }
 }  // namespace
 
@@ -24,7 +24,7 @@
       term_(term),
       partitionRevisions_(std::move(partitionRevisions)),
       electedAt_(context.now),
-      batches_(std::min<std::size_t>(constants::kBatchBytes, maxValueBytes(context.settings))),
+      batches_(std::min<std::size_t>(constants::kTargetBatchBytes, maxValueBytes(context.settings))),
       maxValueBytes_(maxValueBytes(context.settings)),
       commands_(context, machines_, term,
                 {[this] { return mayRenewLeases(); }, [this] { return holdsLeaderLease(); },
@@ -77,7 +77,7 @@
 
 bool Leader::holdsLeaderLease() const {
   const Time confirmed = std::min(leadership_.confirmedAt(), jobFeed_.confirmedAt());
-  return confirmedSinceResume() && context_.now - confirmed < constants::kLeaderTtl;
+  return confirmedSinceResume() && context_.now - confirmed < constants::kLeaderLeaseTtl;
 }
 
 void Leader::resumed(wire::Duration away) {
@@ -249,7 +249,7 @@
   adoptGangAttempts();
   to(State::acting);
   actingSince_ = context_.now;
-  nextSizingSave_ = context_.now + constants::kCopyEvery;
+  nextSizingSave_ = context_.now + constants::kSizingStateSaveInterval;
   loadSizingState();
   context_.event(
       Level::info, "acting",
@@ -273,7 +273,7 @@
 
 void Leader::saveSizingState() {
   if (context_.now < nextSizingSave_) return;
-  nextSizingSave_ = context_.now + constants::kCopyEvery;
+  nextSizingSave_ = context_.now + constants::kSizingStateSaveInterval;
   state::Transaction transaction;
   transaction.conditions = partitionConditions();
   transaction.writes.push_back({kSizingStateKey, sizing_.encode(maxValueBytes_), std::nullopt});
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -35,7 +35,7 @@
     for (const std::string& ref : gangs)
       if (jobs::Job* job = jobs_.find(ref); job != nullptr && job->open())
         job->gang.scaleOutFellShort(context_.now);
-    refusedUntil_[pool] = context_.now + constants::kRefusedPause;
+    refusedUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
   context_.event(Level::info, "rented",
@@ -54,7 +54,7 @@
     // A placement whose outcome is still open finds nothing left to start, and that is right.
     for (Attempt& attempt : machine->attempts) release(*machine, attempt, "machine gone");
     machines_.remove(host);
-    releasedUntil_[host] = context_.now + constants::kReleasedHostMemory;
+    releasedUntil_[host] = context_.now + constants::kReleasedHostRetention;
   }
   planDue_ = true;
 }
@@ -105,7 +105,7 @@
   for (Attempt& attempt : machine.attempts) {
     if (gently && !attempt.isService) continue;
     if (attempt.gang) {
-      stopGang(attempt.task.job.text, constants::kNoHurryS, why);
+      stopGang(attempt.task.job.text, constants::kUnlimitedStopTimeS, why);
     } else {
       commands_.stop(machine, attempt, attempt.saves ? attempt.checkpointS + 1 : 0);
     }
@@ -131,7 +131,7 @@
 void Leader::detectBootTimeouts() {
   // What was reported while nobody listened arrives first.
   if (context_.now - listeningSince() <
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1))
+      wire::seconds(context_.settings.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1))
     return;
   const fleet::BootCohorts cohorts(allMachines());
   for (auto& [host, machine] : machines_.all()) {
@@ -140,7 +140,7 @@
     const auto patience =
         boots_.bootTimeout(machine.machineType, machine.zone, bootSecondsOf(machine), context_.now);
     if (age <= patience) continue;
-    if (age <= constants::kBootAllSlow * patience && !cohorts.lagsCohort(machine)) continue;
+    if (age <= constants::kSlowCohortTimeoutFactor * patience && !cohorts.lagsCohort(machine)) continue;
     boots_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
     decommission(machine, "never came up");
   }
@@ -148,7 +148,7 @@
 
 void Leader::advanceDecommissioning() {
   if (context_.now >= nextBootCheck_) {
-    nextBootCheck_ = context_.now + constants::kScaleOutEvery;
+    nextBootCheck_ = context_.now + constants::kScaleOutInterval;
     detectBootTimeouts();
   }
   for (auto& [host, machine] : machines_.all()) {
@@ -234,7 +234,7 @@
     }
   }
   if (context_.now < nextScaleOut_) return;
-  nextScaleOut_ = context_.now + constants::kScaleOutEvery;
+  nextScaleOut_ = context_.now + constants::kScaleOutInterval;
   auto world = fleetWorld();
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForUnmetWork(world)) {
     requestInstances(rental.pool, rental.count, "shortfall");
@@ -244,9 +244,9 @@
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForReserve(world))
     requestInstances(rental.pool, rental.count, "reserve");
   for (Machine* machine : fleet::idleScaleIn(world)) drain(*machine, "idle");
-  if (context_.now < nextConsolidation_ || context_.now - actingSince_ < constants::kConsolidateMinAge)
+  if (context_.now < nextConsolidation_ || context_.now - actingSince_ < constants::kConsolidationMinAge)
     return;
-  nextConsolidation_ = context_.now + constants::kConsolidateEvery;
+  nextConsolidation_ = context_.now + constants::kConsolidationInterval;
   for (Machine* machine : fleet::consolidationScaleIn(world)) drain(*machine, "vacated", true);
 }
 
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -30,9 +30,9 @@
   for (const placement::UnplacedDemand& unmet : unplaced_)
     if (unmet.job->spec.priority >= wire::Priority::high)
       capacity -= unmet.job->spec.each.vcpus * unmet.tasks;
-  const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kMoveAtLease);
+  const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kFailoverLeaseShare);
   const auto unheardFor =
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
+      wire::seconds(context_.settings.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1);
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::up || !machine.unreachable ||
         !partitionDetector_.contains(machine.zone) ||
@@ -52,15 +52,17 @@
 bool Leader::transferLeadership() {
   if (context_.settings.siblings.empty() || resigned_ || !holdsLeaderLease()) return false;
   const char* why = nullptr;
-  const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kHeartbeatFresh;
-  const bool siblingConfirmed = context_.now - context_.siblingConfirmedAt <= constants::kHeartbeatFresh;
-  if (partitionDetector_.selfPartitionedFor(context_.now) > constants::kSelfCutPatience) {
+  const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kPeerHeartbeatTimeout;
+  const bool siblingConfirmed =
+      context_.now - context_.siblingConfirmedAt <= constants::kPeerHeartbeatTimeout;
+  if (partitionDetector_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout) {
     why = "hears no workers";
   } else if (siblingConfirmed &&
-             partitionDetector_.unreachedFor(context_.now) > constants::kSelfCutPatience) {
+             partitionDetector_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout) {
     why = "hears workers through siblings only";
-  } else if (siblingsSilent && partitionDetector_.unheardFor(context_.now) > constants::kUnheardPatience &&
-             context_.now - listeningSince() > constants::kUnheardPatience) {
+  } else if (siblingsSilent &&
+             partitionDetector_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
+             context_.now - listeningSince() > constants::kNewLeaderContactTimeout) {
     // Machines that are all dead would not come to the next leader either; siblings that are silent as well
     // tell a cut from that.
     why = "hears nobody";
@@ -73,16 +75,16 @@
 
 void Leader::detectFailures() {
   if (context_.now < nextSilenceCheck_ || !confirmedSinceResume()) return;
-  nextSilenceCheck_ = context_.now + constants::kTick * 10;
+  nextSilenceCheck_ = context_.now + constants::kTickInterval * 10;
   probeSilentWorkers();
   // Most machines of a zone quiet at once are more likely cut off than dead, and relay needs a while to find
   // its way: condemning them would throw away work that runs. Then only the lease decides, or, shortly before
   // it does, room for their services elsewhere.
   partitionDetector_.observe(machines_, context_.now);
   const config::Settings& settings = context_.settings;
-  const auto silentFor = wire::seconds(settings.heartbeatIntervalS * constants::kSilentHeartbeats + 2);
-  const auto probeAfter = wire::seconds(settings.heartbeatIntervalS * constants::kProbeHeartbeats + 1);
-  const auto goneFor = wire::seconds(settings.heartbeatIntervalS * constants::kGoneHeartbeats + 1);
+  const auto silentFor = wire::seconds(settings.heartbeatIntervalS * constants::kMissedHeartbeatLimit + 2);
+  const auto probeAfter = wire::seconds(settings.heartbeatIntervalS * constants::kProbeAfterHeartbeats + 1);
+  const auto goneFor = wire::seconds(settings.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1);
   const bool settled = context_.now - listeningSince() > silentFor && holdsLeaderLease();
   if (partitionDetector_.mostlyIndirect()) probeRelayedWorkers();
   if (transferLeadership()) return;
@@ -109,9 +111,9 @@
     }
     if (settled && machine.unreachable && silent > goneFor && !cut) decommission(machine, "unreachable");
     // It reports, but nothing that we send arrives: its lease has run out, and it is of no use to anybody.
-    const bool unacknowledged = !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
-                                context_.now - machine.unacknowledgedSince >
-                                    settings.leaseOver() + constants::kUnacknowledgedPatience;
+    const bool unacknowledged =
+        !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
+        context_.now - machine.unacknowledgedSince > settings.leaseOver() + constants::kUnacknowledgedTimeout;
     if (settled && unacknowledged && machine.phase == MachinePhase::up)
       decommission(machine, "acknowledges nothing");
   }
@@ -121,8 +123,8 @@
 // Workers that an earlier leader still answers would stay with it for as long as it believes itself entitled.
 // One that sees our token finds that leader's answers void and comes to us.
 void Leader::probeSilentWorkers() {
-  if (context_.now - actingSince_ < constants::kProbeUnheardAfter || !holdsLeaderLease()) return;
-  unsigned left = std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / 4);
+  if (context_.now - actingSince_ < constants::kProbeUnheardDelay || !holdsLeaderLease()) return;
+  unsigned left = std::max(constants::kMinProbesPerTick, context_.settings.workerCallsMost() / 4);
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
         machine.endpoint.empty())
@@ -138,9 +140,9 @@
 void Leader::probeRelayedWorkers() {
   std::size_t asked = 0;
   const auto overdue =
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
+      wire::seconds(context_.settings.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   for (auto& [host, machine] : machines_.all()) {
-    if (asked == constants::kDirectSamples || !commands_.mayCall()) return;
+    if (asked == constants::kDirectProbeSamples || !commands_.mayCall()) return;
     const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
                          context_.now - machine.lastDirectContactAt > overdue;
     if (machine.phase != MachinePhase::up || !relayed || machine.probing || machine.endpoint.empty())
@@ -158,7 +160,7 @@
   call.endpoint = machine.endpoint;
   call.method = "GET";
   call.path = "/inspect";
-  call.timeout = constants::kWorkerTimeout;
+  call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(std::move(call), [this, host = machine.host.text,
                                          alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
     if (!alive.lock()) return;
--- a/src/service/leader_gangs.cpp
+++ b/src/service/leader_gangs.cpp
@@ -69,7 +69,7 @@
                         [](const Attempt& other) { return other.phase == AttemptPhase::planned; });
         return;
       }
-      attempt.batch = batches_.place(machine, attempt, pages, constants::kBatchesPerRound);
+      attempt.batch = batches_.place(machine, attempt, pages, constants::kMaxBatchesPerRound);
       if (!attempt.batch) {
         more = true;
         return;
@@ -112,9 +112,9 @@
   if (phase != GangState::reserving && phase != GangState::gathering && phase != GangState::running) return;
   setGangState(job, GangState::clearing, why);
   ++job.gang.failures;
-  const auto pause = constants::kGangRetry * (1 << std::min(job.gang.failures - 1, 6));
-  job.backoffUntil = std::max(
-      job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(pause, constants::kGangRetryMost));
+  const auto pause = constants::kGangRetryBackoff * (1 << std::min(job.gang.failures - 1, 6));
+  job.backoffUntil = std::max(job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(
+                                                                   pause, constants::kMaxGangRetryBackoff));
   forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt& other) {
     if (other.holdsCapacity()) commands_.stop(machine, other, 0);
   });
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -25,7 +25,8 @@
     const bool forgettable = std::any_of(machine.attempts.begin(), machine.attempts.end(),
                                          [](const Attempt& a) { return a.phase == AttemptPhase::ended; });
     // The next report's answer carries it: nobody waits for a forget command.
-    if (forgettable && machine.attempts.size() > constants::kEndedListedMost) commands_.markDue(machine);
+    if (forgettable && machine.attempts.size() > constants::kMaxEndedAttemptsListed)
+      commands_.markDue(machine);
   }
 }
 
@@ -46,7 +47,7 @@
                          {},
                          {},
                          {},
-                         4 * ops - constants::kBatchesPerRound - partitionRevisions_.size()};
+                         4 * ops - constants::kMaxBatchesPerRound - partitionRevisions_.size()};
   for (const std::string& ref : jobs_.open()) {
     jobs::Job* job = jobs_.find(ref);
     world.open.push_back(job);
@@ -62,15 +63,15 @@
   shares_.planned(plan);
   unplaced_ = std::move(plan.unplaced);
   // What waits is looked at again when something has changed, or when time alone may have changed it.
-  nextPlan_ = context_.now + (plan.assignments.empty() && plan.stops.empty() ? constants::kIdleRoundGap
-                                                                             : constants::kRoundGap);
-  replanAt_ = context_.now + constants::kReplanEvery;
+  nextPlan_ = context_.now + (plan.assignments.empty() && plan.stops.empty() ? constants::kIdleRoundInterval
+                                                                             : constants::kMinRoundInterval);
+  replanAt_ = context_.now + constants::kReplanInterval;
   for (const placement::Stop& command : plan.stops) {
     if (Attempt* attempt = command.machine->find(command.task, command.attempt)) {
       context_.event(Level::info, "preempt",
                      {{"task", command.task.str()}, {"machine", command.machine->host.text}});
       if (attempt->gang) {
-        stopGang(attempt->task.job.text, constants::kNoHurryS, "preempted");
+        stopGang(attempt->task.job.text, constants::kUnlimitedStopTimeS, "preempted");
       } else {
         commands_.stop(*command.machine, *attempt, command.graceS);
       }
@@ -95,7 +96,7 @@
     const wire::JobSpec& spec = assignment.job->spec;
     Attempt attempt;
     attempt.task = wire::TaskId{spec.ref, assignment.index};
-    attempt.batch = batches_.place(*assignment.machine, attempt, pages, constants::kBatchesPerRound);
+    attempt.batch = batches_.place(*assignment.machine, attempt, pages, constants::kMaxBatchesPerRound);
     jobs::Gang& gang = assignment.job->gang;
     attempt.gang = assignment.job->isGang();
     const bool begun = attempt.gang && gang.phase == jobs::GangState::reserving;
@@ -146,8 +147,8 @@
   if (!staleBatches_.empty() && (!pages.empty() || context_.now >= nextClean_)) {
     batches_.recountBytes(machines_);
     for (auto at = staleBatches_.begin();
-         at != staleBatches_.end() && pages.size() < constants::kBatchesPerRound;) {
-      if (!pages.contains(*at) && !batches_.shrink(machines_, *at, pages, constants::kBatchesPerRound)) {
+         at != staleBatches_.end() && pages.size() < constants::kMaxBatchesPerRound;) {
+      if (!pages.contains(*at) && !batches_.shrink(machines_, *at, pages, constants::kMaxBatchesPerRound)) {
         ++at;  // what has moved off it is written first
         continue;
       }
@@ -156,7 +157,7 @@
     }
   }
   if (pages.empty()) return;
-  nextClean_ = context_.now + constants::kCleanEvery;
+  nextClean_ = context_.now + constants::kBatchCleanupInterval;
   state::Transaction transaction;
   BatchHosts names;
   for (auto& [number, value] : batches_.encode(machines_, pages)) {
--- a/src/service/leader_task_failures.cpp
+++ b/src/service/leader_task_failures.cpp
@@ -22,7 +22,7 @@
   }
   ++machine.consecutiveErrors;
   machine.failedJobs.insert(ref);
-  if (machine.consecutiveErrors >= constants::kSuspectErrors)
+  if (machine.consecutiveErrors >= constants::kSuspectAfterErrors)
     machine.suspectUntil = context_.now + constants::kSuspectPause;
 }
 
@@ -57,7 +57,7 @@
   if (job != nullptr && job->open() && job->completed > 0) return true;
   // A job that is wrong may run for a while before each of its tasks fails.
   const auto enough =
-      constants::kGoodAfter + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
+      constants::kHealthyRunTime + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
   for (const auto& [host, machine] : machines_.all()) {
     if (except && &except->get() == &machine) continue;
     for (const Attempt& attempt : machine.attempts) {
@@ -73,7 +73,7 @@
 void Leader::quarantineIfFaulty(Machine& machine) {
   // A job that is itself wrong fails on every machine, a sick machine fails every job. What tells them apart
   // is how the same job does elsewhere, and failed tasks are always tried elsewhere first.
-  if (machine.consecutiveErrors < constants::kSuspectErrors || machine.quarantined) return;
+  if (machine.consecutiveErrors < constants::kSuspectAfterErrors || machine.quarantined) return;
   bool allWrong = true;
   for (const std::string& ref : machine.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -19,7 +19,7 @@
 }
 
 PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
-  const auto overdue = wire::seconds(settings_.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
+  const auto overdue = wire::seconds(settings_.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   Count out;
   out.up = 1;
   out.quiet = now - machine.lastHeartbeatAt > overdue ? 1 : 0;
@@ -55,11 +55,13 @@
   }
   // A cut silences all of a zone within a report interval. It is believed for a while, since relay brings its
   // machines back one by one.
-  const auto believed = wire::seconds(settings_.heartbeatIntervalS * constants::kGoneHeartbeats);
+  const auto believed = wire::seconds(settings_.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
   doubtful_.clear();
   for (const auto& [zone, count] : zones) {
-    if (count.quiet > 1 && count.quiet > count.up * constants::kCutShare) until_[zone] = now + believed;
-    if (count.indirect > 1 && count.indirect > count.up * constants::kCutShare) doubtful_.insert(zone);
+    if (count.quiet > 1 && count.quiet > count.up * constants::kZonePartitionShare)
+      until_[zone] = now + believed;
+    if (count.indirect > 1 && count.indirect > count.up * constants::kZonePartitionShare)
+      doubtful_.insert(zone);
   }
   std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; });
   zones_.clear();
@@ -67,7 +69,7 @@
   selfPartitioned_ = nearlyAll(all.quiet, all.up);
   // Machines that were never heard under this term may as well be dead, and then the next leader would do no
   // better.
-  const bool enough = all.up >= constants::kSelfCutLeast;
+  const bool enough = all.up >= constants::kLeaderIsolationMinMachines;
   const bool mostHeard = all.heard * 2 > all.up;
   keep(selfPartitionedSince_, selfPartitioned_ && enough && mostHeard, now);
   mostlyIndirect_ = nearlyAll(all.indirect, all.up) && all.quiet < all.indirect && enough && mostHeard;
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -51,7 +51,7 @@
 
 net::Task<void> Runtime::tickLoop() {
   for (;;) {
-    co_await reactor_.sleepUntil(reactor_.now() + constants::kTick);
+    co_await reactor_.sleepUntil(reactor_.now() + constants::kTickInterval);
     controller_.tick(reactor_.now(), wallMs());
     act();
   }
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -55,7 +55,7 @@
 void SharesFollower::writeOwn() {
   if (!storedGeneration_ || *storedGeneration_ >= own_.generation || writing_ || context_.now < retryAt_)
     return;
-  retryAt_ = context_.now + constants::kShareWriteRetry;
+  retryAt_ = context_.now + constants::kShareWriteRetryInterval;
   writing_ = true;
   state::Transaction transaction;
   transaction.conditions.push_back({shares::kTableKey, revision_});
@@ -76,7 +76,7 @@
 
 void SharesInRounds::planned(const placement::Plan& plan) {
   // Looking costs a walk over all machines: what could not be found now is not looked for in every round.
-  if (plan.triedSharePreemption) nextReclaim_ = context_.now + constants::kReplanEvery;
+  if (plan.triedSharePreemption) nextReclaim_ = context_.now + constants::kReplanInterval;
   if (plan.sharePreemptions == 0) return;
   nextReclaim_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
   context_.event(Level::info, "reclaim", {{"stops", plan.sharePreemptions}, {"generation", generation_}});
@@ -110,7 +110,7 @@
 void SharesInRounds::tick(machines::MachineTable& machines, jobs::JobTable& jobs, bool holdsLeaderLease,
                           const Conditions& conditions) {
   if (!context_.shares || !holdsLeaderLease || context_.now < nextStatus_) return;
-  nextStatus_ = context_.now + constants::kShareStatusEvery;
+  nextStatus_ = context_.now + constants::kShareStatusInterval;
   Json now = status(machines, jobs);
   if (now == written_) return;
   state::Transaction transaction;
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -129,7 +129,7 @@
   const std::uint64_t token = fencingTokenOf(machine);
   call.body = wire::encodeCommands(token, commands);
   call.body["shift"] = machine.incarnation;
-  call.timeout = constants::kWorkerTimeout;
+  call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(std::move(call),
                        [this, host = machine.host.text, token, incarnation = machine.incarnation, commands,
                         alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
@@ -163,7 +163,7 @@
       machine->tokenAcknowledged = false;
       machine->unacknowledgedSince = context_.now;
     }
-    machine->nextDirectAt = context_.now + constants::kWorkerTimeout;
+    machine->nextDirectAt = context_.now + constants::kWorkerCallTimeout;
     context_.event(Level::info, "no_answer", {{"machine", host}, {"sent", result.sent ? "yes" : "no"}});
     return;
   }
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -9,7 +9,7 @@
 namespace reachhoist::shares {
 
 double reportIntervalS(const config::Settings& settings) {
-  return settings.heartbeatIntervalS * constants::kHeartbeatSpread;
+  return settings.heartbeatIntervalS * constants::kHeartbeatJitterFactor;
 }
 
 double reclaimPauseS(const config::Settings& settings) { return reportIntervalS(settings); }
@@ -23,9 +23,9 @@
   const double steps = static_cast<double>(reclaimSteps(settings, move));
   const double reclaimS = (steps - 1) * reclaimPauseS(settings);
   // The last stop may miss its direct command and wait for a report; the end of the task is another report.
-  const double tellS = 2 * reportIntervalS(settings) + wire::toSeconds(constants::kWorkerTimeout);
+  const double tellS = 2 * reportIntervalS(settings) + wire::toSeconds(constants::kWorkerCallTimeout);
   const double placeS = move.placedPerS > 0 ? static_cast<double>(move.tasks) / move.placedPerS
-                                            : wire::toSeconds(constants::kStateTimeout);
+                                            : wire::toSeconds(constants::kStateCallTimeout);
   // The start of the task that follows is told in the same way.
   return reclaimS + tellS + move.graceS + placeS + tellS + move.fetchS;
 }
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 std::optional<Problem> checkWeight(const std::string& field, double weight) {
-  if (std::isfinite(weight) && weight >= 0 && weight <= constants::kShareWeightMost) return std::nullopt;
+  if (std::isfinite(weight) && weight >= 0 && weight <= constants::kMaxShareWeight) return std::nullopt;
   std::ostringstream reason;
-  reason << "must be a number from 0 to " << constants::kShareWeightMost;
+  reason << "must be a number from 0 to " << constants::kMaxShareWeight;
   return Problem{field, reason.str()};
 }
 
@@ -99,15 +99,15 @@
 std::optional<Problem> check(const Table& table, const config::Settings& settings) {
   if (table.generation == 0) return Problem{"generation", "must be at least 1"};
   if (table.shares.empty()) return Problem{"groups", "must name at least one group"};
-  if (table.shares.size() > constants::kShareGroupsMost)
-    return Problem{"groups", "must be at most " + std::to_string(constants::kShareGroupsMost)};
+  if (table.shares.size() > constants::kMaxShareGroups)
+    return Problem{"groups", "must be at most " + std::to_string(constants::kMaxShareGroups)};
   if (auto problem = checkWeight("others", table.othersWeight)) return problem;
   if (auto problem = checkRepeats(table.shares)) return problem;
   for (const Share& share : table.shares) {
     if (auto problem = checkGroup(share.group, settings)) return problem;
     if (auto problem = checkWeight("group " + share.group.str() + " weight", share.weight)) return problem;
   }
-  const auto most = static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kValueFill);
+  const auto most = static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kMaxValueFill);
   if (encode(table).dump().size() > most)
     return Problem{"groups", "make a record of more than " + std::to_string(most) + " bytes"};
   return std::nullopt;
@@ -171,10 +171,10 @@
   const auto refuse = [&](ChangeVerdict verdict, Problem problem) {
     return ChangeOutcome{verdict, table.generation, std::move(problem)};
   };
-  if (change.requestId.empty() || change.requestId.size() > constants::kShareRequestIdMost)
-    return refuse(
-        ChangeVerdict::invalid,
-        {"request_id", "must be text of 1 to " + std::to_string(constants::kShareRequestIdMost) + " bytes"});
+  if (change.requestId.empty() || change.requestId.size() > constants::kMaxShareRequestIdBytes)
+    return refuse(ChangeVerdict::invalid,
+                  {"request_id",
+                   "must be text of 1 to " + std::to_string(constants::kMaxShareRequestIdBytes) + " bytes"});
   for (const AppliedRequest& request : table.requests)
     if (request.id == change.requestId) return {ChangeVerdict::repeated, request.generation, {}};
   if (change.expectedGeneration && *change.expectedGeneration != table.generation)
@@ -192,7 +192,7 @@
   if (change.othersWeight) next.othersWeight = *change.othersWeight;
   ++next.generation;
   next.requests.push_back(AppliedRequest{change.requestId, next.generation});
-  if (next.requests.size() > constants::kShareRequestsKept) next.requests.erase(next.requests.begin());
+  if (next.requests.size() > constants::kShareRequestHistory) next.requests.erase(next.requests.begin());
   if (auto problem = check(next, settings)) return refuse(ChangeVerdict::invalid, *problem);
   table = std::move(next);
   return {ChangeVerdict::changed, table.generation, {}};
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -43,9 +43,10 @@
 void Client::setLeading(bool leading) {
   const auto others = static_cast<double>(settings_.siblings.size());
   setShare((others == 0 ? 1.0
-            : leading   ? constants::kLeaderShare
-                        : std::min(constants::kFollowerShare, (1 - constants::kLeaderShare) / others)) *
-           constants::kBudgetMargin);
+            : leading
+                ? constants::kLeaderBudgetShare
+                : std::min(constants::kFollowerBudgetShare, (1 - constants::kLeaderBudgetShare) / others)) *
+           constants::kRateLimitUtilization);
 }
 
 void Client::multi(Time now, Urgency urgency, const Transaction& transaction, Done done) {
@@ -55,12 +56,13 @@
                 "/multi",
                 encode(transaction),
                 static_cast<double>(transaction.writes.size()),
-                constants::kStateTimeout,
+                constants::kStateCallTimeout,
                 std::move(done)});
 }
 
 void Client::get(Time now, Urgency urgency, const std::string& key, Done done) {
-  submit(now, urgency, Queued{{}, "GET", "/keys/" + key, {}, 0, constants::kStateTimeout, std::move(done)});
+  submit(now, urgency,
+         Queued{{}, "GET", "/keys/" + key, {}, 0, constants::kStateCallTimeout, std::move(done)});
 }
 
 void Client::list(Time now, Urgency urgency, const std::string& prefix, const std::string& after, Done done) {
@@ -74,15 +76,20 @@
                      std::chrono::milliseconds block, Done done) {
   std::string path = "/changes?under=" + prefix + "&after=" + std::to_string(after) +
                      "&blockMs=" + std::to_string(block.count());
-  const auto timeout = block.count() > 0 ? block + constants::kWatchSlack : constants::kStateTimeout;
+  const auto timeout =
+      block.count() > 0 ? block + constants::kWatchTimeoutSlack : constants::kStateCallTimeout;
   submit(now, urgency, Queued{{}, "GET", std::move(path), {}, 0, timeout, std::move(done)});
 }
 
 void Client::newLease(Time now, std::chrono::milliseconds ttl, Done done) {
-  submit(
-      now, Urgency::lease,
-      Queued{
-          {}, "POST", "/leases", Json{{"ttlMs", ttl.count()}}, 0, constants::kStateTimeout, std::move(done)});
+  submit(now, Urgency::lease,
+         Queued{{},
+                "POST",
+                "/leases",
+                Json{{"ttlMs", ttl.count()}},
+                0,
+                constants::kStateCallTimeout,
+                std::move(done)});
 }
 
 void Client::endLease(Time now, std::uint64_t leaseId) {
@@ -93,7 +100,7 @@
                 "/leases/" + std::to_string(leaseId),
                 {},
                 0,
-                constants::kStateTimeout,
+                constants::kStateCallTimeout,
                 [](const wire::CallResult&) {}});
 }
 
@@ -104,7 +111,7 @@
                 "/leases/" + std::to_string(leaseId) + "/touch",
                 Json::object(),
                 0,
-                constants::kStateTimeout,
+                constants::kStateCallTimeout,
                 std::move(done)});
 }
 
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -24,7 +24,7 @@
     if (state_ == State::following && !watchInFlight_) watch();
   }
   // Nobody may be waiting: a failing service is tried all the same, and what is known is kept fresh.
-  const auto stale = failing_ ? constants::kStateBackoff : constants::kFreshFor;
+  const auto stale = failing_ ? constants::kStateBackoff : constants::kMaxFeedStaleness;
   if (!waiting_.empty() || (state_ == State::following && now - lastConfirmAt_ > stale)) sendConfirm();
 }
 
@@ -93,7 +93,7 @@
 
 void Feed::watch() {
   watchInFlight_ = true;
-  client_.changes(now_, urgency_, prefix_, revision_, constants::kWatchBlock,
+  client_.changes(now_, urgency_, prefix_, revision_, constants::kWatchPollTimeout,
                   [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                     if (!alive.lock()) return;
                     watchInFlight_ = false;
--- a/src/state/key_watch.cpp
+++ b/src/state/key_watch.cpp
@@ -48,7 +48,7 @@
 
 void KeyWatch::watch() {
   callInFlight_ = true;
-  client_.changes(now_, Urgency::rest, key_, revision_, constants::kWatchBlock,
+  client_.changes(now_, Urgency::rest, key_, revision_, constants::kWatchPollTimeout,
                   [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                     if (!alive.lock()) return;
                     callInFlight_ = false;
