--- a/src/admin/rpc/service.cpp
+++ b/src/admin/rpc/service.cpp
@@ -17,7 +17,7 @@
   return std::min<StateLoop::Deadline>(context.deadline(), system_clock::now() + kDeadlineMost);
 }
 
-grpc::Status failure(StatusCode code, const config::Problem& problem) {
+grpc::Status failure(StatusCode code, const config::FieldError& problem) {
   return {code, problem.field + " " + problem.reason};
 }
 
@@ -42,10 +42,10 @@
   return {StatusCode::INTERNAL, "unknown verdict"};
 }
 
-std::optional<config::Problem> changeOf(const v1::SetRequest& request, shares::Change& out) {
+std::optional<config::FieldError> changeOf(const v1::SetRequest& request, shares::Change& out) {
   const auto group = [](const std::string& text) { return shares::parseGroup(text); };
   const auto badGroup = [](const std::string& text) {
-    return config::Problem{"group " + text, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
+    return config::FieldError{"group " + text, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
   };
   out.requestId = request.request_id();
   if (request.has_expected_generation()) out.expectedGeneration = request.expected_generation();
--- a/src/admin/share_editor.hpp
+++ b/src/admin/share_editor.hpp
@@ -20,7 +20,7 @@
 struct EditResult {
   EditVerdict verdict = EditVerdict::unavailable;
   std::uint64_t generation = 0;
-  config::Problem problem;
+  config::FieldError problem;
 };
 
 // One change under way. Keeps itself alive until it is told what came of it.
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -55,7 +55,7 @@
   auto problem = reachhoist::config::loadPlatform(path, settings);
   if (!problem && !operatorsPath.empty())
     problem = reachhoist::config::loadOperators(operatorsPath, settings);
-  if (reachhoist::shares::Table table; !problem && settings.operators.shares.on)
+  if (reachhoist::shares::Table table; !problem && settings.operators.shares.enabled)
     problem = reachhoist::shares::fromOperators(settings, table);
   if (problem) {
     std::cerr << "reachhoist: " << problem->field << " " << problem->reason << "\n";
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -17,14 +17,14 @@
       settings_(settings),
       incarnationName_(std::move(incarnationName)),
       handlers_(std::move(handlers)),
-      budget_(settings.cloudRps * kShareOfRate, settings.cloudRps) {}
+      budget_(settings.cloud.requestsPerS * kShareOfRate, settings.cloud.requestsPerS) {}
 
 bool Client::call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done) {
   if (!budget_.affords(now, 1)) return false;
   budget_.take(now, 1);
   wire::Call call;
   call.to = wire::Service::cloud;
-  call.endpoint = settings_.cloudEndpoint;
+  call.endpoint = settings_.endpoints.cloud;
   call.method = method;
   call.path = std::move(path);
   call.body = std::move(body);
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -141,7 +141,7 @@
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
   transaction.writes.push_back(
       {kTermKey, Json{{"term", term}, {"parts", partitionCount_}, {"layout", layout_}}, std::nullopt});
-  const bool partitionsInElection = partitionCount_ + 2 <= settings_.stateTxnOps;
+  const bool partitionsInElection = partitionCount_ + 2 <= settings_.state.opsPerTransaction;
   for (PartitionId part = 0; partitionsInElection && part < partitionCount_; ++part)
     transaction.writes.push_back(
         {partitionKey(part), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt});
@@ -180,7 +180,7 @@
   }
   acquireInFlight_ = true;
   const auto from = static_cast<PartitionId>(partitionRevisions_.size());
-  const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.stateTxnOps);
+  const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.state.opsPerTransaction);
   state::Transaction transaction;
   transaction.conditions = {{kTermKey, ownRevision_}};
   for (PartitionId part = from; part < end; ++part)
--- a/src/config/file.hpp
+++ b/src/config/file.hpp
@@ -1,4 +1,4 @@
-// Reading a settings file as a whole.
+// Reads a settings file as a whole.
 #pragma once
 
 #include <fstream>
@@ -8,6 +8,7 @@
 
 namespace reachhoist::config {
 
+// The contents of the file; nothing if it can't be read.
 inline std::optional<std::string> readFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) return std::nullopt;
--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -16,33 +16,38 @@
 
 namespace {
 
-struct CfgFree {
+// The option of every section that keeps the parser's message, since its callback gets nothing but the
+// section.
+constexpr const char* kMessageOption = "__complaint";
+
+struct CfgDeleter {
   void operator()(cfg_t* cfg) const { cfg_free(cfg); }
 };
 
-struct NumberKey {
+// A number of the block `sizing`: its range and the member that takes it, which is either real or whole.
+struct SizingNumber {
   const char* name;
-  double least;
-  double most;
-  double Operators::*real;
-  int Operators::*whole;
+  double min;
+  double max;
+  double OperatorSettings::*real;
+  int OperatorSettings::*whole;
 };
 
-constexpr NumberKey kSizingKeys[] = {
-    {"round_s", 5, 3600, &Operators::sizingRoundS, nullptr},
-    {"scale_up_cooldown_s", 0, 3600, &Operators::scaleUpCooldownS, nullptr},
-    {"scale_down_cooldown_s", 0, 3600, &Operators::scaleDownCooldownS, nullptr},
-    {"step_divisor", 1, 1000, nullptr, &Operators::stepDivisor},
-    {"probe_chance", 0, 1, &Operators::probeChance, nullptr},
-    {"probe_decay", 0, 1, &Operators::probeDecay, nullptr},
-    {"probe_floor", 0, 1, &Operators::probeFloor, nullptr},
-    {"episodes", 1, 100, nullptr, &Operators::episodes},
-    {"spare_share", 0, 2, &Operators::spareShare, nullptr},
-    {"reserve_share", 0, 2, &Operators::reserveShare, nullptr},
-    {"idle_return_s", 5, 3600, &Operators::idleReturnS, nullptr},
+constexpr SizingNumber kSizingNumbers[] = {
+    {"round_s", 5, 3600, &OperatorSettings::sizingRoundS, nullptr},
+    {"scale_up_cooldown_s", 0, 3600, &OperatorSettings::scaleUpCooldownS, nullptr},
+    {"scale_down_cooldown_s", 0, 3600, &OperatorSettings::scaleDownCooldownS, nullptr},
+    {"step_divisor", 1, 1000, nullptr, &OperatorSettings::stepDivisor},
+    {"probe_chance", 0, 1, &OperatorSettings::probeChance, nullptr},
+    {"probe_decay", 0, 1, &OperatorSettings::probeDecay, nullptr},
+    {"probe_floor", 0, 1, &OperatorSettings::probeFloor, nullptr},
+    {"episodes", 1, 100, nullptr, &OperatorSettings::episodes},
+    {"spare_share", 0, 2, &OperatorSettings::headroomShare, nullptr},
+    {"reserve_share", 0, 2, &OperatorSettings::reserveShare, nullptr},
+    {"idle_return_s", 5, 3600, &OperatorSettings::idleScaleInS, nullptr},
 };
 
-// The option's text, or nothing when the file doesn't set it.
+// The option's text, or nothing if the file doesn't set it.
 std::optional<std::string> textOf(cfg_t* section, const char* name) {
   cfg_opt_t* option = cfg_getopt(section, name);
   if (option == nullptr || cfg_opt_size(option) == 0) return std::nullopt;
@@ -50,124 +55,157 @@
 }
 
 // Numbers are read as text, so that 30, 30.5 and "30" are all told apart from what is no number.
-std::optional<Problem> readNumber(const std::string& path, const std::string& text, double least, double most,
-                                  double& out) {
+std::optional<FieldError> readNumber(const std::string& path, const std::string& text, double min, double max,
+                                     double& out) {
   char* end = nullptr;
   const double number = std::strtod(text.c_str(), &end);
-  if (text.empty() || *end != '\0' || !(number >= least) || !(number <= most)) {
+  if (text.empty() || *end != '\0' || !(number >= min) || !(number <= max)) {
     std::ostringstream reason;
-    reason << "must be a number from " << least << " to " << most;
-    return Problem{path, reason.str()};
+    reason << "must be a number from " << min << " to " << max;
+    return FieldError{path, reason.str()};
   }
   out = number;
   return std::nullopt;
 }
 
-std::optional<Problem> setNumber(cfg_t* section, const NumberKey& known, Operators& out) {
+std::optional<FieldError> readSizingNumber(cfg_t* section, const SizingNumber& known, OperatorSettings& out) {
   const auto text = textOf(section, known.name);
   if (!text) return std::nullopt;
   const std::string path = std::string("sizing.") + known.name;
   double number = 0;
-  if (auto problem = readNumber(path, *text, known.least, known.most, number)) return problem;
+  if (auto error = readNumber(path, *text, known.min, known.max, number)) return error;
   if (known.real != nullptr) {
     out.*known.real = number;
   } else if (number != std::floor(number)) {
-    return Problem{path, "must be a whole number"};
+    return FieldError{path, "must be a whole number"};
   } else {
     out.*known.whole = static_cast<int>(number);
   }
   return std::nullopt;
 }
 
-std::optional<Problem> setShareNumber(cfg_t* section, const char* name, double least, double most,
-                                      double& out) {
+std::optional<FieldError> readSizing(cfg_t* section, OperatorSettings& out) {
+  for (const SizingNumber& known : kSizingNumbers)
+    if (auto error = readSizingNumber(section, known, out)) return error;
+  return std::nullopt;
+}
+
+std::optional<FieldError> readShareNumber(cfg_t* section, const char* name, double min, double max,
+                                          double& out) {
   const auto text = textOf(section, name);
-  return text ? readNumber(std::string("shares.") + name, *text, least, most, out) : std::nullopt;
-}
-
-std::optional<Problem> setShares(cfg_t* section, ShareSettings& out) {
-  constexpr double kGenerationMost = 1e15;  // whole numbers are exact up to here
-  constexpr double kStepLeast = 0.001;
-  out.on = true;
-  double generation = static_cast<double>(out.generation);
-  if (auto problem = setShareNumber(section, "generation", 1, kGenerationMost, generation)) return problem;
-  if (generation != std::floor(generation)) return Problem{"shares.generation", "must be a whole number"};
-  out.generation = static_cast<std::uint64_t>(generation);
-  if (auto problem = setShareNumber(section, "others", 0, constants::kMaxShareWeight, out.othersWeight))
-    return problem;
-  if (auto problem = setShareNumber(section, "reclaim_step", kStepLeast, 1, out.reclaimStep)) return problem;
+  return text ? readNumber(std::string("shares.") + name, *text, min, max, out) : std::nullopt;
+}
+
+std::optional<FieldError> readGeneration(cfg_t* section, std::uint64_t& out) {
+  constexpr double kMaxGeneration = 1e15;  // whole numbers are exact up to here
+  auto generation = static_cast<double>(out);
+  if (auto error = readShareNumber(section, "generation", 1, kMaxGeneration, generation)) return error;
+  if (generation != std::floor(generation)) return FieldError{"shares.generation", "must be a whole number"};
+  out = static_cast<std::uint64_t>(generation);
+  return std::nullopt;
+}
+
+std::optional<FieldError> readGroup(cfg_t* section, ShareWeight& out) {
+  out.group = cfg_title(section);
+  const std::string path = "shares.group " + out.group + " weight";
+  const auto weight = textOf(section, "weight");
+  if (!weight) return FieldError{path, "is missing"};
+  return readNumber(path, *weight, 0, constants::kMaxShareWeight, out.weight);
+}
+
+std::optional<FieldError> readShares(cfg_t* section, ShareSettings& out) {
+  constexpr double kMinReclaimStep = 0.001;
+  out.enabled = true;
+  if (auto error = readGeneration(section, out.generation)) return error;
+  if (auto error = readShareNumber(section, "others", 0, constants::kMaxShareWeight, out.othersWeight))
+    return error;
+  if (auto error = readShareNumber(section, "reclaim_step", kMinReclaimStep, 1, out.reclaimStep))
+    return error;
   for (unsigned i = 0; i < cfg_size(section, "group"); ++i) {
-    cfg_t* group = cfg_getnsec(section, "group", i);
-    ShareLine line{cfg_title(group), 0};
-    const std::string path = "shares.group " + line.group + " weight";
-    const auto weight = textOf(group, "weight");
-    if (!weight) return Problem{path, "is missing"};
-    if (auto problem = readNumber(path, *weight, 0, constants::kMaxShareWeight, line.weight)) return problem;
-    out.groups.push_back(std::move(line));
+    ShareWeight group;
+    if (auto error = readGroup(cfg_getnsec(section, "group", i), group)) return error;
+    out.groups.push_back(std::move(group));
   }
   return std::nullopt;
 }
 
-// The parser's complaint, on one line, kept where its callback can reach it: the settings' own object.
-void keepComplaint(cfg_t* cfg, const char* format, va_list arguments) {
+// The parser's error callback: keeps its first message, on one line, in the section's own message option.
+void keepMessage(cfg_t* section, const char* format, va_list arguments) {
   std::array<char, 256> line{};
   std::vsnprintf(line.data(), line.size(), format, arguments);
-  // The top-level options hold a place for it, since the callback gets nothing else.
-  cfg_t* top = cfg;
-  if (cfg_opt_t* place = cfg_getopt(top, "__complaint"); place != nullptr && cfg_opt_size(place) == 0)
-    cfg_opt_setnstr(place, ("line " + std::to_string(cfg->line) + ": " + line.data()).c_str(), 0);
+  cfg_opt_t* option = cfg_getopt(section, kMessageOption);
+  if (option == nullptr || cfg_opt_size(option) != 0) return;
+  cfg_opt_setnstr(option, ("line " + std::to_string(section->line) + ": " + line.data()).c_str(), 0);
 }
 
-std::optional<std::string> complaintOf(cfg_t* section) { return textOf(section, "__complaint"); }
+std::optional<std::string> messageOf(cfg_t* section) { return textOf(section, kMessageOption); }
 
-// The first complaint that the parser has left in any of the sections.
-std::optional<std::string> anyComplaint(cfg_t* cfg) {
-  if (auto found = complaintOf(cfg)) return found;
+// The first message that the parser has left in any of the sections.
+std::optional<std::string> anyMessage(cfg_t* cfg) {
+  if (auto found = messageOf(cfg)) return found;
   if (cfg_t* sizing = cfg_getsec(cfg, "sizing"); sizing != nullptr)
-    if (auto found = complaintOf(sizing)) return found;
+    if (auto found = messageOf(sizing)) return found;
   cfg_t* shares = cfg_getsec(cfg, "shares");
   if (shares == nullptr) return std::nullopt;
-  if (auto found = complaintOf(shares)) return found;
+  if (auto found = messageOf(shares)) return found;
   for (unsigned i = 0; i < cfg_size(shares, "group"); ++i)
-    if (auto found = complaintOf(cfg_getnsec(shares, "group", i))) return found;
+    if (auto found = messageOf(cfg_getnsec(shares, "group", i))) return found;
   return std::nullopt;
 }
 
+using Options = std::vector<cfg_opt_t>;
+using Config = std::unique_ptr<cfg_t, CfgDeleter>;
+
+// Text options without defaults, so that an option is set only if the file sets it.
+Options textOptions(const std::vector<const char*>& names) {
+  Options out;
+  for (const char* name : names) out.push_back(CFG_STR(name, nullptr, CFGF_NODEFAULT));
+  return out;
+}
+
+// Adds the message option and the end mark that libconfuse wants.
+Options finished(Options options) {
+  options.push_back(CFG_STR(kMessageOption, nullptr, CFGF_NODEFAULT));
+  options.push_back(CFG_END());
+  return options;
+}
+
+Options sizingOptions() {
+  std::vector<const char*> names;
+  for (const SizingNumber& known : kSizingNumbers) names.push_back(known.name);
+  return finished(textOptions(names));
+}
+
+// An empty configuration with the blocks that operators may write. libconfuse copies the options.
+Config makeConfig() {
+  Options sizing = sizingOptions();
+  Options group = finished(textOptions({"weight"}));
+  Options shares = textOptions({"generation", "others", "reclaim_step"});
+  shares.push_back(CFG_SEC("group", group.data(), CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES));
+  shares = finished(std::move(shares));
+  // Without a default, a section is there only if the file has it.
+  Options top = finished(
+      {CFG_SEC("sizing", sizing.data(), CFGF_NONE), CFG_SEC("shares", shares.data(), CFGF_NODEFAULT)});
+  return Config(cfg_init(top.data(), CFGF_NONE));
+}
+
 }  // namespace
 
-std::optional<Problem> parseOperators(const std::string& text, Settings& out) {
-  std::vector<cfg_opt_t> sizing;
-  for (const NumberKey& known : kSizingKeys) sizing.push_back(CFG_STR(known.name, nullptr, CFGF_NODEFAULT));
-  sizing.push_back(CFG_STR("__complaint", nullptr, CFGF_NODEFAULT));
-  sizing.push_back(CFG_END());
-  std::vector<cfg_opt_t> group = {CFG_STR("weight", nullptr, CFGF_NODEFAULT),
-                                  CFG_STR("__complaint", nullptr, CFGF_NODEFAULT), CFG_END()};
-  std::vector<cfg_opt_t> shares = {
-      CFG_STR("generation", nullptr, CFGF_NODEFAULT),
-      CFG_STR("others", nullptr, CFGF_NODEFAULT),
-      CFG_STR("reclaim_step", nullptr, CFGF_NODEFAULT),
-      CFG_SEC("group", group.data(), CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-      CFG_STR("__complaint", nullptr, CFGF_NODEFAULT),
-      CFG_END()};
-  // Without a default a section is there only if the file has it.
-  std::vector<cfg_opt_t> top = {CFG_SEC("sizing", sizing.data(), CFGF_NONE),
-                                CFG_SEC("shares", shares.data(), CFGF_NODEFAULT),
-                                CFG_STR("__complaint", nullptr, CFGF_NODEFAULT), CFG_END()};
-  const std::unique_ptr<cfg_t, CfgFree> cfg(cfg_init(top.data(), CFGF_NONE));
-  cfg_set_error_function(cfg.get(), keepComplaint);
-  if (cfg_parse_buf(cfg.get(), text.c_str()) != CFG_SUCCESS)
-    return Problem{"operators' file", anyComplaint(cfg.get()).value_or("cannot be parsed")};
-  if (cfg_t* section = cfg_getsec(cfg.get(), "sizing"); section != nullptr)
-    for (const NumberKey& known : kSizingKeys)
-      if (auto problem = setNumber(section, known, out.operators)) return problem;
-  if (cfg_t* section = cfg_getsec(cfg.get(), "shares"); section != nullptr)
-    return setShares(section, out.operators.shares);
+std::optional<FieldError> parseOperators(const std::string& text, Settings& out) {
+  const Config config = makeConfig();
+  cfg_set_error_function(config.get(), keepMessage);
+  if (cfg_parse_buf(config.get(), text.c_str()) != CFG_SUCCESS)
+    return FieldError{"operators' file", anyMessage(config.get()).value_or("cannot be parsed")};
+  if (cfg_t* section = cfg_getsec(config.get(), "sizing"); section != nullptr)
+    if (auto error = readSizing(section, out.operators)) return error;
+  if (cfg_t* section = cfg_getsec(config.get(), "shares"); section != nullptr)
+    return readShares(section, out.operators.shares);
   return std::nullopt;
 }
 
-std::optional<Problem> loadOperators(const std::string& path, Settings& out) {
+std::optional<FieldError> loadOperators(const std::string& path, Settings& out) {
   const auto text = readFile(path);
-  if (!text) return Problem{path, "cannot be read"};
+  if (!text) return FieldError{path, "cannot be read"};
   return parseOperators(*text, out);
 }
 
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -21,7 +21,7 @@
 // Whether the machine has been empty for longer than the operators' idle limit.
 bool idleTooLong(const FleetWorld& world, const Machine& machine) {
   if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) return false;
-  return world.now - machine.idleSince >= wire::seconds(world.settings.operators.idleReturnS);
+  return world.now - machine.idleSince >= wire::seconds(world.settings.operators.idleScaleInS);
 }
 
 // The machines of one on-demand pool that consolidation looks at.
@@ -72,7 +72,7 @@
 // Picks the pool's machines to consolidate, least used first, and appends them to `out`.
 void consolidate(const FleetWorld& world, ConsolidationPool& pool, std::vector<Machine*>& out) {
   const std::size_t most = 1 + pool.up.size() / constants::kConsolidationDivisor;
-  const double headroomCpus = pool.productionCpus * world.settings.operators.spareShare;
+  const double headroomCpus = pool.productionCpus * world.settings.operators.headroomShare;
   std::sort(pool.up.begin(), pool.up.end(), [](const Machine* a, const Machine* b) {
     return a->freeCapacity().vcpus > b->freeCapacity().vcpus;
   });
@@ -101,7 +101,7 @@
     production += productionCpus(*machine);
     if (!machine->spot) freeCpus_ += std::max(0.0, machine->freeCapacity().vcpus);
   }
-  wantedCpus_ = production * world.settings.operators.spareShare;
+  wantedCpus_ = production * world.settings.operators.headroomShare;
 }
 
 bool Headroom::allowsRelease(const Machine& machine) const {
--- a/src/placement/gangs.cpp
+++ b/src/placement/gangs.cpp
@@ -9,7 +9,7 @@
 
 bool Round::isReachable(const Machine& machine) const {
   const auto overdue =
-      wire::seconds(world_.settings.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
+      wire::seconds(world_.settings.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   return machine.tokenAcknowledged && !machine.unreachable && world_.now - machine.lastHeartbeatAt <= overdue;
 }
 
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -65,7 +65,8 @@
   // Heard from in both directions under this term: what is known of it from records, late copies of reports
   // or one direction alone is no reason to give it work.
   if (!machine.tokenAcknowledged || machine.suspectUntil > world_.now) return false;
-  const auto silent = wire::seconds(world_.settings.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
+  const auto silent =
+      wire::seconds(world_.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
   return world_.now - machine.lastHeartbeatAt <= silent && !machine.spotNoticeAt;
 }
 
--- a/src/service/completion_records.cpp
+++ b/src/service/completion_records.cpp
@@ -56,7 +56,7 @@
   state::Transaction transaction;
   std::vector<std::string> refs;
   for (const std::string& ref : finished_) {
-    if (refs.size() >= context_.settings.stateTxnOps) break;
+    if (refs.size() >= context_.settings.state.opsPerTransaction) break;
     const jobs::Job* job = jobs_.find(ref);
     transaction.conditions.push_back({jobs::jobKey(ref), job->revision});
     transaction.writes.push_back(
@@ -95,7 +95,7 @@
   nextProgress_ = context_.now + constants::kProgressWriteInterval;
   state::Transaction transaction;
   std::vector<std::pair<std::string, std::uint32_t>> chunks;
-  const std::size_t most = context_.settings.stateTxnOps;
+  const std::size_t most = context_.settings.state.opsPerTransaction;
   // Longest dirty first, so that none is passed for ever when there is more than the budget carries.
   while (!queue_.empty() && chunks.size() < most) {
     const std::string ref = queue_.front();
@@ -146,7 +146,7 @@
   state::Transaction transaction;
   std::vector<std::string> deletes;
   for (const std::string& key : deletes_) {
-    if (deletes.size() >= context_.settings.stateTxnOps) break;
+    if (deletes.size() >= context_.settings.state.opsPerTransaction) break;
     transaction.writes.push_back({key, std::nullopt, std::nullopt});
     deletes.push_back(key);
   }
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -26,7 +26,7 @@
     : settings_(settings),
       context_(settings, level, std::move(sink)),
       jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::place,
-               wire::seconds(1.0 / (settings.stateRps *
+               wire::seconds(1.0 / (settings.state.requestsPerS *
                                     std::min(constants::kMaxPollBudgetShare,
                                              constants::kTotalPollBudgetShare /
                                                  static_cast<double>(settings.siblings.size() + 1)))),
@@ -53,7 +53,7 @@
                    }}),
       jobApi_(context_, jobFeed_, jobs_, leadership_,
               [this](auto change, const std::string& ref) { applied(change, ref); }) {
-  if (settings.operators.shares.on) shares_ = std::make_unique<SharesFollower>(context_);
+  if (settings.operators.shares.enabled) shares_ = std::make_unique<SharesFollower>(context_);
 }
 
 void Controller::at(Time now, std::int64_t wallMs) {
@@ -335,7 +335,7 @@
   askingCatalog_ = true;
   wire::Call call;
   call.to = wire::Service::cloud;
-  call.endpoint = settings_.cloudEndpoint;
+  call.endpoint = settings_.endpoints.cloud;
   call.method = "GET";
   call.path = "/catalog";
   call.timeout = constants::kCloudCallTimeout;
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -95,7 +95,7 @@
     jobs::Job probe;
     probe.spec = *spec;
     if (static_cast<double>(jobs::encodeOpen(probe).dump().size()) >
-        context_.settings.stateValueKb * 1024 * constants::kMaxValueFill)
+        context_.settings.state.valueKb * 1024 * constants::kMaxValueFill)
       return refuse(request, ref, 422, "too large to be stored");
     Submission& submission = submissions_[ref];
     const bool fresh = submission.requests.empty();
@@ -127,14 +127,14 @@
     std::vector<Json> records;
     std::size_t bytes = 0;
     bool raised = false;
-    while (!queue_.empty() && transaction.writes.size() < context_.settings.stateTxnOps &&
+    while (!queue_.empty() && transaction.writes.size() < context_.settings.state.opsPerTransaction &&
            bytes < kBatchBytes) {
       const std::string ref = queue_.front();
       const auto found = submissions_.find(ref);
       if (found != submissions_.end() && found->second.spec.kind == wire::JobKind::gang &&
           !leadership_.layoutRaised() && !raised) {
         const auto fence = leadership_.raiseLayout();
-        if (!fence || transaction.writes.size() + 2 > context_.settings.stateTxnOps) {
+        if (!fence || transaction.writes.size() + 2 > context_.settings.state.opsPerTransaction) {
           if (!transaction.writes.empty()) break;
           queue_.pop_front();
           giveUp(ref);  // no term is known yet
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -11,7 +11,7 @@
 constexpr const char* kSizingStateKey = "fleet/learned";
 
 std::size_t maxValueBytes(const config::Settings& settings) {
-  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kMaxBatchFill);
+  return static_cast<std::size_t>(settings.state.valueKb * 1024 * constants::kMaxBatchFill);
 }
 }  // namespace
 
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -63,7 +63,7 @@
   std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const wire::HostEntry& entry : hosts) {
     Machine* machine = machines_.find(entry.ref.text);
-    const double lagS = 2 * context_.settings.cloudListLagS;
+    const double lagS = 2 * context_.settings.cloud.listLagS;
     if (machine == nullptr) {
       if (releasedUntil_.contains(entry.ref.text)) continue;
       Machine& stranger = machines_.add(entry.ref.text);
@@ -91,7 +91,7 @@
       // Counted from when it was first said to run: one that came up late has only just begun to report.
       if (machine->listedUpAt == Time{}) machine->listedUpAt = context_.now;
       const auto silent = context_.now - std::max(machine->listedUpAt, listeningSince());
-      if (wire::toSeconds(silent) > lagS + 4 * context_.settings.heartbeatIntervalS)
+      if (wire::toSeconds(silent) > lagS + 4 * context_.settings.workers.heartbeatIntervalS)
         decommission(*machine, "listed as running but silent");
     }
   }
@@ -131,7 +131,7 @@
 void Leader::detectBootTimeouts() {
   // What was reported while nobody listened arrives first.
   if (context_.now - listeningSince() <
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1))
+      wire::seconds(context_.settings.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1))
     return;
   const fleet::BootCohorts cohorts(allMachines());
   for (auto& [host, machine] : machines_.all()) {
@@ -211,7 +211,7 @@
 void Leader::autoscale() {
   if (!context_.catalog || !holdsLeaderLease()) return;
   // The machines that are up make themselves known first; else a new leader would rent everything again.
-  const auto settle = wire::seconds(context_.settings.heartbeatIntervalS * 1.5 + 1);
+  const auto settle = wire::seconds(context_.settings.workers.heartbeatIntervalS * 1.5 + 1);
   if (context_.now - actingSince_ < settle && !machines_.all().empty()) return;
   if (sizing_.due(context_.now)) {
     const auto world = fleetWorld();
--- a/src/service/leader_failure_detection.cpp
+++ b/src/service/leader_failure_detection.cpp
@@ -30,9 +30,9 @@
   for (const placement::UnplacedDemand& unmet : unplaced_)
     if (unmet.job->spec.priority >= wire::Priority::high)
       capacity -= unmet.job->spec.each.vcpus * unmet.tasks;
-  const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kFailoverLeaseShare);
+  const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   const auto unheardFor =
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1);
+      wire::seconds(context_.settings.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1);
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::up || !machine.unreachable ||
         !partitionDetector_.contains(machine.zone) ||
@@ -82,9 +82,12 @@
   // it does, room for their services elsewhere.
   partitionDetector_.observe(machines_, context_.now);
   const config::Settings& settings = context_.settings;
-  const auto silentFor = wire::seconds(settings.heartbeatIntervalS * constants::kMissedHeartbeatLimit + 2);
-  const auto probeAfter = wire::seconds(settings.heartbeatIntervalS * constants::kProbeAfterHeartbeats + 1);
-  const auto goneFor = wire::seconds(settings.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1);
+  const auto silentFor =
+      wire::seconds(settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatLimit + 2);
+  const auto probeAfter =
+      wire::seconds(settings.workers.heartbeatIntervalS * constants::kProbeAfterHeartbeats + 1);
+  const auto goneFor =
+      wire::seconds(settings.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit + 1);
   const bool settled = context_.now - listeningSince() > silentFor && holdsLeaderLease();
   if (partitionDetector_.mostlyIndirect()) probeRelayedWorkers();
   if (transferLeadership()) return;
@@ -92,7 +95,7 @@
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase == MachinePhase::terminated) continue;
     quarantineIfFaulty(machine);
-    const bool over = context_.now - machine.leaseRenewedAt > settings.leaseOver();
+    const bool over = context_.now - machine.leaseRenewedAt > settings.leaseExpiry();
     if (over && machine.phase != MachinePhase::booting &&
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& a) { return a.phase != AttemptPhase::planned; })) {
@@ -111,9 +114,9 @@
     }
     if (settled && machine.unreachable && silent > goneFor && !cut) decommission(machine, "unreachable");
     // It reports, but nothing that we send arrives: its lease has run out, and it is of no use to anybody.
-    const bool unacknowledged =
-        !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
-        context_.now - machine.unacknowledgedSince > settings.leaseOver() + constants::kUnacknowledgedTimeout;
+    const bool unacknowledged = !machine.tokenAcknowledged && machine.unacknowledgedSince != Time{} &&
+                                context_.now - machine.unacknowledgedSince >
+                                    settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
     if (settled && unacknowledged && machine.phase == MachinePhase::up)
       decommission(machine, "acknowledges nothing");
   }
@@ -124,7 +127,7 @@
 // One that sees our token finds that leader's answers void and comes to us.
 void Leader::probeSilentWorkers() {
   if (context_.now - actingSince_ < constants::kProbeUnheardDelay || !holdsLeaderLease()) return;
-  unsigned left = std::max(constants::kMinProbesPerTick, context_.settings.workerCallsMost() / 4);
+  unsigned left = std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / 4);
   for (auto& [host, machine] : machines_.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.probedUnheard ||
         machine.endpoint.empty())
@@ -140,7 +143,7 @@
 void Leader::probeRelayedWorkers() {
   std::size_t asked = 0;
   const auto overdue =
-      wire::seconds(context_.settings.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
+      wire::seconds(context_.settings.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   for (auto& [host, machine] : machines_.all()) {
     if (asked == constants::kDirectProbeSamples || !commands_.mayCall()) return;
     const bool relayed = context_.now - machine.lastHeartbeatAt <= overdue &&
--- a/src/service/leader_scheduling.cpp
+++ b/src/service/leader_scheduling.cpp
@@ -40,7 +40,7 @@
 }
 
 placement::Plan Leader::planRound() {
-  const std::size_t ops = context_.settings.stateTxnOps;
+  const std::size_t ops = context_.settings.state.opsPerTransaction;
   placement::World world{context_.settings,
                          context_.now,
                          context_.wallMs,
@@ -83,7 +83,7 @@
 bool Leader::mayPreemptForShares() const {
   // A new leader first hears what runs: until then all tasks look freshly started, and those that an earlier
   // leader has stopped look as if they went on.
-  const auto settle = wire::seconds(context_.settings.heartbeatIntervalS * 1.5 + 1);
+  const auto settle = wire::seconds(context_.settings.workers.heartbeatIntervalS * 1.5 + 1);
   return context_.now - actingSince_ >= settle && holdsLeaderLease();
 }
 
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -19,7 +19,8 @@
 }
 
 PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
-  const auto overdue = wire::seconds(settings_.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
+  const auto overdue =
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   Count out;
   out.up = 1;
   out.quiet = now - machine.lastHeartbeatAt > overdue ? 1 : 0;
@@ -55,7 +56,8 @@
   }
   // A cut silences all of a zone within a report interval. It is believed for a while, since relay brings its
   // machines back one by one.
-  const auto believed = wire::seconds(settings_.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
+  const auto believed =
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
   doubtful_.clear();
   for (const auto& [zone, count] : zones) {
     if (count.quiet > 1 && count.quiet > count.up * constants::kZonePartitionShare)
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -16,7 +16,7 @@
                                               std::move(request.body)});
                 act();
               }),
-      client_(reactor_, settings.ownCallSockets()),
+      client_(reactor_, settings.clientSockets()),
       peers_(reactor_, [this](const std::string& frame) {
         if (const auto message = peer::decode(frame)) {
           controller_.onPeer(reactor_.now(), wallMs(), *message);
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -21,7 +21,7 @@
   if (leads) writeOwn();
 }
 
-void SharesFollower::refuse(const config::Problem& problem) {
+void SharesFollower::refuse(const config::FieldError& problem) {
   context_.event(Level::error, "shares_refused",
                  {{"field", problem.field},
                   {"why", problem.reason},
@@ -45,7 +45,7 @@
   storedGeneration_ = table.generation;
   if (!problem) problem = shares::check(table, context_.settings);
   if (!problem && context_.shares && table.generation < context_.shares->generation)
-    problem = config::Problem{"generation", "is lower than that of the table in force"};
+    problem = config::FieldError{"generation", "is lower than that of the table in force"};
   if (problem) return refuse(*problem);
   if (context_.shares && table.generation == context_.shares->generation) return;
   context_.event(Level::info, "shares", {{"generation", table.generation}, {"groups", table.shares.size()}});
--- a/src/service/shares.hpp
+++ b/src/service/shares.hpp
@@ -23,7 +23,7 @@
 
  private:
   void onRecord(const Json* value, std::uint64_t revision);
-  void refuse(const config::Problem& problem);
+  void refuse(const config::FieldError& problem);
   void writeOwn();
 
   Context& context_;
--- a/src/service/worker_commands.cpp
+++ b/src/service/worker_commands.cpp
@@ -94,7 +94,7 @@
   return forgets;
 }
 
-bool WorkerCommands::mayCall() const { return calls_ < context_.settings.workerCallsMost(); }
+bool WorkerCommands::mayCall() const { return calls_ < context_.settings.maxWorkerCalls(); }
 
 void WorkerCommands::sendDirectCommands() {
   // The rest waits for sockets: machines that don't answer hold theirs for up to the time limit.
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -9,7 +9,7 @@
 namespace reachhoist::shares {
 
 double reportIntervalS(const config::Settings& settings) {
-  return settings.heartbeatIntervalS * constants::kHeartbeatJitterFactor;
+  return settings.workers.heartbeatIntervalS * constants::kHeartbeatJitterFactor;
 }
 
 double reclaimPauseS(const config::Settings& settings) { return reportIntervalS(settings); }
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -8,15 +8,15 @@
 
 namespace reachhoist::shares {
 
-using config::Problem;
+using config::FieldError;
 
 namespace {
 
-std::optional<Problem> checkWeight(const std::string& field, double weight) {
+std::optional<FieldError> checkWeight(const std::string& field, double weight) {
   if (std::isfinite(weight) && weight >= 0 && weight <= constants::kMaxShareWeight) return std::nullopt;
   std::ostringstream reason;
   reason << "must be a number from 0 to " << constants::kMaxShareWeight;
-  return Problem{field, reason.str()};
+  return FieldError{field, reason.str()};
 }
 
 bool knownClass(const config::Settings& settings, const std::string& jobClass) {
@@ -24,34 +24,35 @@
                      [&](const config::Objective& objective) { return objective.jobClass == jobClass; });
 }
 
-std::optional<Problem> checkGroup(const Group& group, const config::Settings& settings) {
+std::optional<FieldError> checkGroup(const Group& group, const config::Settings& settings) {
   const std::string field = "group " + group.str();
   if (!group.team.empty() && settings.team(group.team) == nullptr)
-    return Problem{field, "names a team that the platform doesn't know"};
+    return FieldError{field, "names a team that the platform doesn't know"};
   if (!group.jobClass.empty() && !knownClass(settings, group.jobClass))
-    return Problem{field, "names a job class that the platform doesn't know"};
+    return FieldError{field, "names a job class that the platform doesn't know"};
   return std::nullopt;
 }
 
-std::optional<Problem> decodeShare(const Json& entry, std::size_t index, Share& out) {
+std::optional<FieldError> decodeShare(const Json& entry, std::size_t index, Share& out) {
   const std::string field = "groups[" + std::to_string(index) + "]";
   const auto name = wire::textField(entry, "group");
   const auto group = name ? parseGroup(*name) : std::nullopt;
-  if (!group) return Problem{field + ".group", "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
+  if (!group)
+    return FieldError{field + ".group", "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
   const Json* weight = wire::field(entry, "weight");
-  if (weight == nullptr || !weight->is_number()) return Problem{field + ".weight", "must be a number"};
+  if (weight == nullptr || !weight->is_number()) return FieldError{field + ".weight", "must be a number"};
   out = Share{*group, weight->get<double>()};
   return std::nullopt;
 }
 
-std::optional<Problem> decodeRequests(const Json& value, Table& out) {
+std::optional<FieldError> decodeRequests(const Json& value, Table& out) {
   const Json* requests = wire::field(value, "requests");
   if (requests == nullptr) return std::nullopt;
-  if (!requests->is_array()) return Problem{"requests", "must be a list"};
+  if (!requests->is_array()) return FieldError{"requests", "must be a list"};
   for (const Json& entry : *requests) {
     const auto id = wire::textField(entry, "id");
     const auto generation = wire::countField(entry, "generation");
-    if (!id || !generation) return Problem{"requests", "must hold ids and generations"};
+    if (!id || !generation) return FieldError{"requests", "must hold ids and generations"};
     out.requests.push_back(AppliedRequest{*id, *generation});
   }
   return std::nullopt;
@@ -67,10 +68,10 @@
   }
 }
 
-std::optional<Problem> checkRepeats(const std::vector<Share>& shares) {
+std::optional<FieldError> checkRepeats(const std::vector<Share>& shares) {
   std::set<Group> seen;
   for (const Share& share : shares)
-    if (!seen.insert(share.group).second) return Problem{"group " + share.group.str(), "is named twice"};
+    if (!seen.insert(share.group).second) return FieldError{"group " + share.group.str(), "is named twice"};
   return std::nullopt;
 }
 
@@ -96,20 +97,20 @@
   return group < shares.size() ? shares[group].group.str() : std::string(kOthers);
 }
 
-std::optional<Problem> check(const Table& table, const config::Settings& settings) {
-  if (table.generation == 0) return Problem{"generation", "must be at least 1"};
-  if (table.shares.empty()) return Problem{"groups", "must name at least one group"};
+std::optional<FieldError> check(const Table& table, const config::Settings& settings) {
+  if (table.generation == 0) return FieldError{"generation", "must be at least 1"};
+  if (table.shares.empty()) return FieldError{"groups", "must name at least one group"};
   if (table.shares.size() > constants::kMaxShareGroups)
-    return Problem{"groups", "must be at most " + std::to_string(constants::kMaxShareGroups)};
+    return FieldError{"groups", "must be at most " + std::to_string(constants::kMaxShareGroups)};
   if (auto problem = checkWeight("others", table.othersWeight)) return problem;
   if (auto problem = checkRepeats(table.shares)) return problem;
   for (const Share& share : table.shares) {
     if (auto problem = checkGroup(share.group, settings)) return problem;
     if (auto problem = checkWeight("group " + share.group.str() + " weight", share.weight)) return problem;
   }
-  const auto most = static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kMaxValueFill);
+  const auto most = static_cast<std::size_t>(settings.state.valueKb * 1024 * constants::kMaxValueFill);
   if (encode(table).dump().size() > most)
-    return Problem{"groups", "make a record of more than " + std::to_string(most) + " bytes"};
+    return FieldError{"groups", "make a record of more than " + std::to_string(most) + " bytes"};
   return std::nullopt;
 }
 
@@ -126,17 +127,17 @@
               {"requests", std::move(requests)}};
 }
 
-std::optional<Problem> decode(const Json& value, Table& out) {
-  if (!value.is_object()) return Problem{"record", "must be a map"};
+std::optional<FieldError> decode(const Json& value, Table& out) {
+  if (!value.is_object()) return FieldError{"record", "must be a map"};
   Table table;
   const auto generation = wire::countField(value, "generation");
-  if (!generation) return Problem{"generation", "must be a whole number"};
+  if (!generation) return FieldError{"generation", "must be a whole number"};
   table.generation = *generation;
   const Json* others = wire::field(value, "others");
-  if (others == nullptr || !others->is_number()) return Problem{"others", "must be a number"};
+  if (others == nullptr || !others->is_number()) return FieldError{"others", "must be a number"};
   table.othersWeight = others->get<double>();
   const Json* groups = wire::field(value, "groups");
-  if (groups == nullptr || !groups->is_array()) return Problem{"groups", "must be a list"};
+  if (groups == nullptr || !groups->is_array()) return FieldError{"groups", "must be a list"};
   for (const Json& entry : *groups) {
     Share share;
     if (auto problem = decodeShare(entry, table.shares.size(), share)) return problem;
@@ -147,16 +148,16 @@
   return std::nullopt;
 }
 
-std::optional<Problem> fromOperators(const config::Settings& settings, Table& out) {
+std::optional<FieldError> fromOperators(const config::Settings& settings, Table& out) {
   const config::ShareSettings& block = settings.operators.shares;
   Table table;
   table.generation = block.generation;
   table.othersWeight = block.othersWeight;
-  for (const config::ShareLine& line : block.groups) {
+  for (const config::ShareWeight& line : block.groups) {
     const auto group = parseGroup(line.group);
     if (!group)
-      return Problem{"shares.group " + line.group,
-                     "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
+      return FieldError{"shares.group " + line.group,
+                        "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
     table.shares.push_back(Share{*group, line.weight});
   }
   if (auto problem = check(table, settings)) {
@@ -168,7 +169,7 @@
 }
 
 ChangeOutcome apply(const Change& change, const config::Settings& settings, Table& table) {
-  const auto refuse = [&](ChangeVerdict verdict, Problem problem) {
+  const auto refuse = [&](ChangeVerdict verdict, FieldError problem) {
     return ChangeOutcome{verdict, table.generation, std::move(problem)};
   };
   if (change.requestId.empty() || change.requestId.size() > constants::kMaxShareRequestIdBytes)
--- a/src/shares/table.hpp
+++ b/src/shares/table.hpp
@@ -43,14 +43,14 @@
 };
 
 // What is wrong with the table, by the field's name; nothing if it is good.
-std::optional<config::Problem> check(const Table& table, const config::Settings& settings);
+std::optional<config::FieldError> check(const Table& table, const config::Settings& settings);
 
 Json encode(const Table& table);
 // Structure only; `check` judges the content.
-std::optional<config::Problem> decode(const Json& value, Table& out);
+std::optional<config::FieldError> decode(const Json& value, Table& out);
 
 // The table of the operators' file.
-std::optional<config::Problem> fromOperators(const config::Settings& settings, Table& out);
+std::optional<config::FieldError> fromOperators(const config::Settings& settings, Table& out);
 
 // One change by an operator.
 struct Change {
@@ -66,7 +66,7 @@
 struct ChangeOutcome {
   ChangeVerdict verdict = ChangeVerdict::invalid;
   std::uint64_t generation = 0;  // that the change has led to, or the present one when it is refused
-  config::Problem problem;
+  config::FieldError problem;
 };
 
 // Applies the change to the table, which stays as it is unless the verdict is `changed`.
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -36,8 +36,8 @@
 }
 
 void Client::setShare(double share) {
-  requests_.set(settings_.stateRps * share, settings_.stateRps * share);
-  writes_.set(settings_.stateWriteRps * share, settings_.stateWriteRps * share);
+  requests_.set(settings_.state.requestsPerS * share, settings_.state.requestsPerS * share);
+  writes_.set(settings_.state.writesPerS * share, settings_.state.writesPerS * share);
 }
 
 void Client::setLeading(bool leading) {
@@ -130,7 +130,7 @@
   if (request.writes > 0) writes_.take(now, request.writes);
   wire::Call call;
   call.to = wire::Service::state;
-  call.endpoint = settings_.stateEndpoint;
+  call.endpoint = settings_.endpoints.state;
   call.method = std::move(request.method);
   call.path = std::move(request.path);
   call.body = std::move(request.body);
