--- a/src/fleet/boot_times.cpp
+++ b/src/fleet/boot_times.cpp
@@ -38,17 +38,17 @@
 
 wire::Duration BootHistory::expectedBootTime(const std::string& machineType, const std::string& zone,
                                              double bootS, Time now) const {
-  const auto usual = wire::seconds(bootS * constants::kExpectedBootFactor);
-  return std::max(usual, wire::seconds(constants::kMedianBootExpectedFactor *
-                                       wire::toSeconds(medianBootTime({machineType, zone}, now)))) +
+  const auto expected = wire::seconds(bootS * constants::kExpectedBootFactor);
+  return std::max(expected, wire::seconds(constants::kMedianBootExpectedFactor *
+                                          wire::toSeconds(medianBootTime({machineType, zone}, now)))) +
          constants::kFirstHeartbeatSlack;
 }
 
 wire::Duration BootHistory::bootTimeout(const std::string& machineType, const std::string& zone, double bootS,
                                         Time now) const {
-  const Duration usual =
+  const Duration timeout =
       std::max<Duration>(constants::kMinBootTimeout, wire::seconds(bootS * constants::kBootTimeoutFactor));
-  return std::max(usual, constants::kMedianBootTimeoutFactor * medianBootTime({machineType, zone}, now));
+  return std::max(timeout, constants::kMedianBootTimeoutFactor * medianBootTime({machineType, zone}, now));
 }
 
 double BootHistory::costFactor(const std::string& machineType, const std::string& zone, Time now) const {
--- /dev/null
+++ b/src/fleet/headroom.cpp
@@ -0,0 +1,33 @@
+// The headroom on on-demand machines.
+#include "fleet/headroom.hpp"
+
+#include <algorithm>
+
+namespace reachhoist::fleet {
+
+double productionCpus(const Machine& machine) {
+  double cpus = 0;
+  for (const machines::Attempt& attempt : machine.attempts)
+    if (attempt.holdsCapacity() && attempt.priority == wire::Priority::prod) cpus += attempt.each.vcpus;
+  return cpus;
+}
+
+Headroom::Headroom(const FleetSnapshot& snapshot) {
+  double production = 0;
+  for (const Machine* machine : snapshot.machines) {
+    if (machine->phase != machines::MachinePhase::up) continue;
+    production += productionCpus(*machine);
+    if (!machine->spot) freeCpus_ += std::max(0.0, machine->freeCapacity().vcpus);
+  }
+  requiredCpus_ = production * snapshot.settings.operators.headroomShare;
+}
+
+bool Headroom::allowsRelease(const Machine& machine) const {
+  return machine.spot || freeCpus_ - machine.total.vcpus >= requiredCpus_;
+}
+
+void Headroom::release(const Machine& machine) {
+  if (!machine.spot) freeCpus_ -= machine.total.vcpus;
+}
+
+}  // namespace reachhoist::fleet
--- /dev/null
+++ b/src/fleet/pareto.hpp
@@ -0,0 +1,35 @@
+// The Pareto frontier of queue wait and cost.
+#pragma once
+
+#include <vector>
+
+namespace reachhoist::fleet {
+
+// A point of queue wait and cost, each normalised to 0..1.
+struct ParetoPoint {
+  double wait = 0;
+  double cost = 0;
+};
+
+// The non-dominated points of normalised wait and cost, at most constants::kMaxFrontierPoints.
+class ParetoFrontier {
+ public:
+  // Whether no point of the frontier dominates this one.
+  bool nonDominated(const ParetoPoint& point) const;
+  // Area that the point adds to what the frontier dominates, up to the reference point (1, 1).
+  double contribution(const ParetoPoint& point) const;
+  // Euclidean distance to the nearest point of the frontier; 0 for an empty frontier.
+  double distance(const ParetoPoint& point) const;
+  // Adds the point if it is non-dominated, dropping the points it dominates (and the oldest beyond the
+  // limit).
+  void update(const ParetoPoint& point);
+  // The points, oldest first.
+  const std::vector<ParetoPoint>& points() const { return points_; }
+  // Replaces all points.
+  void set(std::vector<ParetoPoint> points) { points_ = std::move(points); }
+
+ private:
+  std::vector<ParetoPoint> points_;
+};
+
+}  // namespace reachhoist::fleet
--- a/src/fleet/pending_instances.hpp
+++ b/src/fleet/pending_instances.hpp
@@ -1,6 +1,5 @@
-// Helpers shared by the pool views and the scale-out and scale-in rules: the pools that the catalogue offers,
-// the pending instances (those that will soon take work) and the queued work that their free capacity does
-// not cover.
+// Pending instances (those that will soon take work) and the queued work that their free capacity does not
+// cover.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/pools.hpp"
+#include "fleet/snapshot.hpp"
 
 namespace reachhoist::fleet {
 
@@ -25,35 +24,17 @@
 // The queued tasks of a job, and how many of its tasks each zone holds (counted only for jobs with zone
 // constraints).
 struct QueuedWork {
-  placement::UnplacedDemand unmet;
-  ZoneCount byZone;
+  placement::UnplacedDemand demand;
+  ZoneCount tasksByZone;
 };
 
-// A pool that the catalogue offers, with the machine type of its instances (owned by the catalogue).
-struct PoolOffer {
-  PoolKey key;
-  const wire::MachineType* machineType = nullptr;
-};
-
-// Price of one instance, per hour: the market price for spot instances, the on-demand rate otherwise.
-double hourlyPrice(const wire::MachineType& machineType, bool spot);
-
-// Whether the machine counts towards the size of its pool: booting or up.
-bool countsTowardPool(const Machine& machine);
-
-// Whether the machine takes new work: up, reconciled both ways, and without a spot interruption notice.
-bool acceptsWork(const Machine& machine);
-
-// Every pool that the catalogue offers: one on-demand and one spot pool per machine type and zone.
-std::vector<PoolOffer> offeredPools(const std::vector<wire::MachineType>& catalog);
-
 // Whether a booting machine is past its expected boot time while most of its launch cohort is up: it may
 // never come up.
-bool isStraggler(const FleetWorld& world, const BootCohorts& cohorts, const Machine& machine);
+bool isStraggler(const FleetSnapshot& snapshot, const BootCohorts& cohorts, const Machine& machine);
 
 // The instances that will soon take work: booting, requested without an answer yet, or up but not heard from
 // both ways yet. Stragglers are left out, so that their work gets another instance.
-std::vector<PendingInstance> pendingInstances(const FleetWorld& world);
+std::vector<PendingInstance> pendingInstances(const FleetSnapshot& snapshot);
 
 // Bin-packs as many of the queued tasks into the instance's free capacity as the job's constraints allow;
 // both arguments are updated.
@@ -62,20 +43,17 @@
 // Packs the queued tasks into the instances in order; true when every task found capacity.
 bool packIntoAny(QueuedWork& queued, std::vector<PendingInstance>& instances);
 
-// Whether the machine is unreachable in a zone that seems partitioned away.
-bool isPartitioned(const FleetWorld& world, const Machine& machine);
-
 // Whether the cloud lately had too few instances for the gang: until its next try it is no reason to scale
 // out.
-bool inScaleOutBackoff(const FleetWorld& world, const placement::UnplacedDemand& unmet);
+bool inScaleOutBackoff(const FleetSnapshot& snapshot, const placement::UnplacedDemand& demand);
 
 // The work with the zones of each job's other tasks; with `withPartitioned` false, tasks on partitioned
 // machines are not counted.
-std::vector<QueuedWork> queuedWork(const FleetWorld& world,
+std::vector<QueuedWork> queuedWork(const FleetSnapshot& snapshot,
                                    const std::vector<placement::UnplacedDemand>& work, bool withPartitioned);
 
 // The queued work that the pending instances have no free capacity for, less the gangs in scale-out backoff.
 // Claims the capacity of `pending` for the work that it covers.
-std::vector<QueuedWork> uncoveredWork(const FleetWorld& world, std::vector<PendingInstance>& pending);
+std::vector<QueuedWork> uncoveredWork(const FleetSnapshot& snapshot, std::vector<PendingInstance>& pending);
 
 }  // namespace reachhoist::fleet
--- /dev/null
+++ b/src/fleet/pool_offers.cpp
@@ -0,0 +1,21 @@
+// The pools that the catalogue offers.
+#include "fleet/pool_offers.hpp"
+
+namespace reachhoist::fleet {
+
+double hourlyPrice(const wire::MachineType& machineType, bool spot) {
+  return spot ? machineType.marketPrice : machineType.rate;
+}
+
+std::vector<PoolOffer> offeredPools(const std::vector<wire::MachineType>& catalog) {
+  std::vector<PoolOffer> out;
+  for (const wire::MachineType& machineType : catalog) {
+    for (const std::string& zone : machineType.zones) {
+      out.push_back({cloud::PoolKey{machineType.label, zone, false}, &machineType});
+      out.push_back({cloud::PoolKey{machineType.label, zone, true}, &machineType});
+    }
+  }
+  return out;
+}
+
+}  // namespace reachhoist::fleet
--- /dev/null
+++ b/src/fleet/pool_offers.hpp
@@ -0,0 +1,22 @@
+// The pools that the catalogue offers, and their prices.
+#pragma once
+
+#include <vector>
+
+#include "cloud/client.hpp"
+
+namespace reachhoist::fleet {
+
+// A pool that the catalogue offers, with the machine type of its instances (part of the catalogue).
+struct PoolOffer {
+  cloud::PoolKey key;
+  const wire::MachineType* machineType = nullptr;
+};
+
+// Price of one instance, per hour: the market price for spot instances, the on-demand rate otherwise.
+double hourlyPrice(const wire::MachineType& machineType, bool spot);
+
+// Every pool that the catalogue offers: one on-demand and one spot pool per machine type and zone.
+std::vector<PoolOffer> offeredPools(const std::vector<wire::MachineType>& catalog);
+
+}  // namespace reachhoist::fleet
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -2,8 +2,11 @@
 #include "fleet/pools.hpp"
 
 #include <algorithm>
+#include <map>
 
+#include "fleet/headroom.hpp"
 #include "fleet/pending_instances.hpp"
+#include "fleet/pool_offers.hpp"
 
 namespace reachhoist::fleet {
 
@@ -15,33 +18,33 @@
   double total = 0;
 };
 
-std::map<PoolKey, PoolView> emptyViews(const FleetWorld& world) {
+std::map<PoolKey, PoolView> emptyViews(const FleetSnapshot& snapshot) {
   std::map<PoolKey, PoolView> views;
-  for (const auto& [key, machineType] : offeredPools(world.catalog)) {
+  for (const auto& [key, machineType] : offeredPools(snapshot.catalog)) {
     PoolView& view = views[key];
     view.key = key;
     view.ratePerHour = hourlyPrice(*machineType, key.spot);
-    view.refused = world.refused.contains(key);
+    view.refused = snapshot.refusedPools.contains(key);
   }
   return views;
 }
 
 // Adds the machines of the fleet to the views: sizes, idle and releasable machines, overdue boots, CPU usage.
-std::map<PoolKey, CpuUsage> countMachines(const FleetWorld& world, std::map<PoolKey, PoolView>& views) {
+std::map<PoolKey, CpuUsage> countMachines(const FleetSnapshot& snapshot, std::map<PoolKey, PoolView>& views) {
   std::map<PoolKey, CpuUsage> cpus;
   std::map<PoolKey, Headroom> headroom;  // each pool's step is judged by itself
-  const BootCohorts cohorts(world.machines);
-  for (const Machine* machine : world.machines) {
+  const BootCohorts cohorts(snapshot.machines);
+  for (const Machine* machine : snapshot.machines) {
     if (!countsTowardPool(*machine)) continue;
     const auto found = views.find(poolOf(*machine));
     if (found == views.end()) continue;
     PoolView& view = found->second;
     ++view.machines;
-    if (isStraggler(world, cohorts, *machine)) ++view.overdue;
+    if (isStraggler(snapshot, cohorts, *machine)) ++view.overdue;
     if (machine->phase != machines::MachinePhase::up) continue;
     if (machine->empty()) {
       ++view.idle;
-      if (Headroom& left = headroom.try_emplace(found->first, world).first->second;
+      if (Headroom& left = headroom.try_emplace(found->first, snapshot).first->second;
           left.allowsRelease(*machine)) {
         ++view.releasable;
         left.release(*machine);
@@ -55,28 +58,26 @@
 }
 
 // Adds the queued work that pending instances don't cover to each pool that could take it.
-void addQueue(const FleetWorld& world, const std::vector<QueuedWork>& queue, PoolView& view) {
-  for (const auto& [unmet, byZone] : queue) {
-    if (!placement::allows(unmet.job->spec, view.key.machineType, view.key.zone, view.key.spot)) continue;
-    view.queueWaitS = std::max(view.queueWaitS, wire::toSeconds(world.now - unmet.job->waitingSince));
-    view.queuedTasks += static_cast<int>(unmet.tasks);
+void addQueue(const FleetSnapshot& snapshot, const std::vector<QueuedWork>& queue, PoolView& view) {
+  for (const auto& [demand, tasksByZone] : queue) {
+    if (!placement::allows(demand.job->spec, view.key.machineType, view.key.zone, view.key.spot)) continue;
+    view.queueWaitS = std::max(view.queueWaitS, wire::toSeconds(snapshot.now - demand.job->waitingSince));
+    view.queuedTasks += static_cast<int>(demand.tasks);
   }
 }
 
 }  // namespace
 
-PoolKey poolOf(const Machine& machine) { return PoolKey{machine.machineType, machine.zone, machine.spot}; }
-
-std::vector<PoolView> viewPools(const FleetWorld& world) {
-  std::map<PoolKey, PoolView> views = emptyViews(world);
-  const std::map<PoolKey, CpuUsage> cpus = countMachines(world, views);
-  // What a pending instance will take is no reason for another: that is the scale-out for unmet work.
-  auto pending = pendingInstances(world);
-  const auto queue = uncoveredWork(world, pending);
+std::vector<PoolView> viewPools(const FleetSnapshot& snapshot) {
+  std::map<PoolKey, PoolView> views = emptyViews(snapshot);
+  const std::map<PoolKey, CpuUsage> cpus = countMachines(snapshot, views);
+  // Work that a pending instance will take is no reason to request another one.
+  auto pending = pendingInstances(snapshot);
+  const auto queue = uncoveredWork(snapshot, pending);
   for (auto& [key, view] : views) {
     if (const auto found = cpus.find(key); found != cpus.end() && found->second.total > 0)
       view.busyShare = found->second.used / found->second.total;
-    addQueue(world, queue, view);
+    addQueue(snapshot, queue, view);
   }
   std::vector<PoolView> out;
   for (auto& [key, view] : views) out.push_back(std::move(view));
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -3,11 +3,16 @@
 #include <limits>
 
 #include "fleet/pending_instances.hpp"
+#include "fleet/pool_offers.hpp"
+#include "fleet/scaling.hpp"
 
 namespace reachhoist::fleet {
 
 namespace {
 
+// Weight of a zone's free capacity in the price of a vCPU: only breaks ties.
+constexpr double kSpreadWeight = 0.001;
+
 // Work that runs on on-demand machines only and for which other work is preempted rather than made to wait.
 bool needsReserve(const wire::JobSpec& spec) {
   return spec.priority >= wire::Priority::high || spec.kind == wire::JobKind::gang;
@@ -36,35 +41,36 @@
   capacity.freeByZone[machine.zone] += free;
 }
 
-OnDemandCapacity onDemandCapacity(const FleetWorld& world) {
+OnDemandCapacity onDemandCapacity(const FleetSnapshot& snapshot) {
   OnDemandCapacity out;
-  for (const Machine* machine : world.machines)
-    if (acceptsWork(*machine) && !machine->spot && !isPartitioned(world, *machine)) addMachine(*machine, out);
-  for (const PendingInstance& instance : pendingInstances(world)) {
+  for (const Machine* machine : snapshot.machines)
+    if (acceptsWork(*machine) && !machine->spot && !isPartitioned(snapshot, *machine))
+      addMachine(*machine, out);
+  for (const PendingInstance& instance : pendingInstances(snapshot)) {
     if (instance.pool.spot) continue;
     out.free += instance.free.vcpus;
     out.freeByZone[instance.pool.zone] += instance.free.vcpus;
   }
-  for (const placement::UnplacedDemand& unmet : world.unmet)
-    if (needsReserve(unmet.job->spec) && !inScaleOutBackoff(world, unmet))
-      out.free -= unmet.job->spec.each.vcpus * unmet.tasks;
+  for (const placement::UnplacedDemand& demand : snapshot.unplaced)
+    if (needsReserve(demand.job->spec) && !inScaleOutBackoff(snapshot, demand))
+      out.free -= demand.job->spec.each.vcpus * demand.tasks;
   return out;
 }
 
 // The on-demand pool with the cheapest vCPU; null where none may be asked.
-const PoolOffer* cheapestPool(const FleetWorld& world, const std::vector<PoolOffer>& pools,
+const PoolOffer* cheapestPool(const FleetSnapshot& snapshot, const std::vector<PoolOffer>& pools,
                               OnDemandCapacity& capacity) {
   const PoolOffer* best = nullptr;
   double bestCost = std::numeric_limits<double>::max();
   for (const PoolOffer& pool : pools) {
     const auto& [key, machineType] = pool;
-    if (key.spot || world.refused.contains(key) || world.cut.contains(key.zone) ||
+    if (key.spot || snapshot.refusedPools.contains(key) || snapshot.partitionedZones.contains(key.zone) ||
         machineType->capacity.vcpus <= 0)
       continue;
     // Price of a vCPU; the zone with the least free capacity breaks ties.
     const double cost = machineType->rate / machineType->capacity.vcpus *
-                        world.bootTimes.costFactor(key.machineType, key.zone, world.now) *
-                        (1 + 0.001 * capacity.freeByZone[key.zone] / machineType->capacity.vcpus);
+                        snapshot.bootTimes.costFactor(key.machineType, key.zone, snapshot.now) *
+                        (1 + kSpreadWeight * capacity.freeByZone[key.zone] / machineType->capacity.vcpus);
     if (cost >= bestCost) continue;
     bestCost = cost;
     best = &pool;
@@ -74,13 +80,13 @@
 
 }  // namespace
 
-std::vector<ScaleOutRequest> scaleOutForReserve(const FleetWorld& world) {
-  OnDemandCapacity capacity = onDemandCapacity(world);
-  const double wanted = capacity.used * world.settings.operators.reserveShare;
-  const std::vector<PoolOffer> pools = offeredPools(world.catalog);
+std::vector<ScaleOutRequest> scaleOutForReserve(const FleetSnapshot& snapshot) {
+  OnDemandCapacity capacity = onDemandCapacity(snapshot);
+  const double wanted = capacity.used * snapshot.settings.operators.reserveShare;
+  const std::vector<PoolOffer> pools = offeredPools(snapshot.catalog);
   std::map<PoolKey, int> counts;
   while (wanted > capacity.free) {
-    const PoolOffer* best = cheapestPool(world, pools, capacity);
+    const PoolOffer* best = cheapestPool(snapshot, pools, capacity);
     // Less than a whole machine's worth is not worth one: small deployments would pay a machine for a task.
     if (best == nullptr || wanted - capacity.free < best->machineType->capacity.vcpus) break;
     ++counts[best->key];
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -1,7 +1,8 @@
-// Scale-in: the headroom, idle machines to release, and consolidation of lightly used machines.
+// Scale-in: idle machines to release, and consolidation of lightly used machines.
 #include <algorithm>
 
-#include "fleet/pending_instances.hpp"
+#include "fleet/headroom.hpp"
+#include "fleet/scaling.hpp"
 
 namespace reachhoist::fleet {
 
@@ -10,18 +11,10 @@
 using machines::AttemptPhase;
 using machines::MachinePhase;
 
-// vCPUs that production work holds on the machine.
-double productionCpus(const Machine& machine) {
-  double cpus = 0;
-  for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.holdsCapacity() && attempt.priority == wire::Priority::prod) cpus += attempt.each.vcpus;
-  return cpus;
-}
-
 // Whether the machine has been empty for longer than the operators' idle limit.
-bool idleTooLong(const FleetWorld& world, const Machine& machine) {
+bool idleTooLong(const FleetSnapshot& snapshot, const Machine& machine) {
   if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.recordBusy) return false;
-  return world.now - machine.idleSince >= wire::seconds(world.settings.operators.idleScaleInS);
+  return snapshot.now - machine.idleSince >= wire::seconds(snapshot.settings.operators.idleScaleInS);
 }
 
 // The machines of one on-demand pool that consolidation looks at.
@@ -32,9 +25,9 @@
   std::size_t draining = 0;
 };
 
-std::map<PoolKey, ConsolidationPool> consolidationPools(const FleetWorld& world) {
+std::map<PoolKey, ConsolidationPool> consolidationPools(const FleetSnapshot& snapshot) {
   std::map<PoolKey, ConsolidationPool> pools;
-  for (Machine* machine : world.machines) {
+  for (Machine* machine : snapshot.machines) {
     if (machine->spot) continue;
     ConsolidationPool& pool = pools[poolOf(*machine)];
     if (machine->phase == MachinePhase::draining) ++pool.draining;
@@ -55,29 +48,30 @@
 
 // Whether every task of the machine is a settled service that fits elsewhere, or a job array task that may
 // end.
-bool isMovable(const FleetWorld& world, const Machine& machine, const ConsolidationPool& pool) {
+bool isMovable(const FleetSnapshot& snapshot, const Machine& machine, const ConsolidationPool& pool) {
   // An empty one is for the idle scale-in.
-  if (machine.empty() || machine.recordBusy || world.now - machine.upSince < constants::kConsolidationMinAge)
+  if (machine.empty() || machine.recordBusy ||
+      snapshot.now - machine.upSince < constants::kConsolidationMinAge)
     return false;
   for (const machines::Attempt& attempt : machine.attempts) {
     if (attempt.phase == AttemptPhase::ended) continue;
     if (attempt.phase != AttemptPhase::running || attempt.stopWanted) return false;
     if (!attempt.isService) continue;
-    if (world.now - attempt.runningSince < constants::kConsolidationMinAge) return false;
+    if (snapshot.now - attempt.runningSince < constants::kConsolidationMinAge) return false;
     if (!fitsElsewhere(attempt, machine, pool)) return false;
   }
   return true;
 }
 
 // Picks the pool's machines to consolidate, least used first, and appends them to `out`.
-void consolidate(const FleetWorld& world, ConsolidationPool& pool, std::vector<Machine*>& out) {
-  const std::size_t most = 1 + pool.up.size() / constants::kConsolidationDivisor;
-  const double headroomCpus = pool.productionCpus * world.settings.operators.headroomShare;
+void consolidate(const FleetSnapshot& snapshot, ConsolidationPool& pool, std::vector<Machine*>& out) {
+  const std::size_t maxDraining = 1 + pool.up.size() / constants::kConsolidationDivisor;
+  const double headroomCpus = pool.productionCpus * snapshot.settings.operators.headroomShare;
   std::sort(pool.up.begin(), pool.up.end(), [](const Machine* a, const Machine* b) {
     return a->freeCapacity().vcpus > b->freeCapacity().vcpus;
   });
   for (Machine* machine : pool.up) {
-    if (pool.draining >= most) break;
+    if (pool.draining >= maxDraining) break;
     // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
     // loss of one uses up nothing that the next services need.
     const double used = machine->total.vcpus - machine->freeCapacity().vcpus;
@@ -85,7 +79,7 @@
     if (pool.freeCpus - machine->total.vcpus <
         headroomCpus + constants::kConsolidationSpareMachines * machine->total.vcpus)
       break;
-    if (!isMovable(world, *machine, pool)) continue;
+    if (!isMovable(snapshot, *machine, pool)) continue;
     pool.freeCpus -= machine->total.vcpus;
     ++pool.draining;
     out.push_back(machine);
@@ -94,40 +88,22 @@
 
 }  // namespace
 
-Headroom::Headroom(const FleetWorld& world) {
-  double production = 0;
-  for (const Machine* machine : world.machines) {
-    if (machine->phase != MachinePhase::up) continue;
-    production += productionCpus(*machine);
-    if (!machine->spot) freeCpus_ += std::max(0.0, machine->freeCapacity().vcpus);
-  }
-  wantedCpus_ = production * world.settings.operators.headroomShare;
-}
-
-bool Headroom::allowsRelease(const Machine& machine) const {
-  return machine.spot || freeCpus_ - machine.total.vcpus >= wantedCpus_;
-}
-
-void Headroom::release(const Machine& machine) {
-  if (!machine.spot) freeCpus_ -= machine.total.vcpus;
-}
-
-std::vector<Machine*> idleScaleIn(const FleetWorld& world) {
-  Headroom headroom(world);
+std::vector<Machine*> idleScaleIn(const FleetSnapshot& snapshot) {
+  Headroom headroom(snapshot);
   std::vector<Machine*> out;
-  for (Machine* machine : world.machines) {
-    if (!idleTooLong(world, *machine) || !headroom.allowsRelease(*machine)) continue;
+  for (Machine* machine : snapshot.machines) {
+    if (!idleTooLong(snapshot, *machine) || !headroom.allowsRelease(*machine)) continue;
     headroom.release(*machine);
     out.push_back(machine);
   }
   return out;
 }
 
-std::vector<Machine*> consolidationScaleIn(const FleetWorld& world) {
-  if (!world.unmet.empty()) return {};
-  std::map<PoolKey, ConsolidationPool> pools = consolidationPools(world);
+std::vector<Machine*> consolidationScaleIn(const FleetSnapshot& snapshot) {
+  if (!snapshot.unplaced.empty()) return {};
+  std::map<PoolKey, ConsolidationPool> pools = consolidationPools(snapshot);
   std::vector<Machine*> out;
-  for (auto& [key, pool] : pools) consolidate(world, pool, out);
+  for (auto& [key, pool] : pools) consolidate(snapshot, pool, out);
   return out;
 }
 
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -7,9 +7,12 @@
 namespace reachhoist::fleet {
 
 namespace {
-constexpr double kLowShare = 0.5;  // a pool less busy than this, without a queue, is a unit too large
 
-double targetS() { return wire::toSeconds(constants::kQueueWaitTarget); }
+// A pool less busy than this, without a queue, is a unit too large.
+constexpr double kUnderusedShare = 0.5;
+
+double queueWaitTargetS() { return wire::toSeconds(constants::kQueueWaitTarget); }
+
 }  // namespace
 
 double sizeFeature(int machines) {
@@ -19,8 +22,7 @@
 
 int unitOf(int machines, int divisor) { return std::max(1, machines / std::max(1, divisor)); }
 
-// The validator: the nearest step that the limits and cooldowns allow.
-int Sizing::clamp(const PoolView& pool, const PoolState& state, int units, Time now) const {
+int Sizing::allowedUnits(const PoolView& pool, const PoolState& state, int units, Time now) const {
   units = std::clamp(units, constants::kMinStepUnits, constants::kMaxStepUnits);
   if (units > 0 &&
       (pool.refused || (state.lastScaleOut != Time{} &&
@@ -33,25 +35,25 @@
   return units;
 }
 
-int Sizing::followQueue(const PoolView& pool) const {
-  if (pool.queueWaitS > 2 * targetS()) return 2;
-  if (pool.queueWaitS > targetS()) return 1;
-  return pool.queueWaitS == 0 && pool.busyShare < kLowShare ? -1 : 0;
+int Sizing::unitsForQueue(const PoolView& pool) const {
+  if (pool.queueWaitS > 2 * queueWaitTargetS()) return 2;
+  if (pool.queueWaitS > queueWaitTargetS()) return 1;
+  return pool.queueWaitS == 0 && pool.busyShare < kUnderusedShare ? -1 : 0;
 }
 
-Context Sizing::contextOf(const PoolView& pool) const {
+PoolContext Sizing::contextOf(const PoolView& pool) const {
   const double machines = std::max(1, pool.machines);
-  const auto scaled = [](double value, double most) { return std::clamp(value / most, 0.0, 1.0); };
-  return Context{scaled(pool.queueWaitS, constants::kMaxWaitTargets * targetS()),
-                 scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idle / machines,
-                 sizeFeature(pool.machines)};
+  const auto scaled = [](double value, double max) { return std::clamp(value / max, 0.0, 1.0); };
+  return PoolContext{scaled(pool.queueWaitS, constants::kMaxWaitTargets * queueWaitTargetS()),
+                     scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idle / machines,
+                     sizeFeature(pool.machines)};
 }
 
-void Sizing::score(const PoolView& pool, PoolState& state) {
+void Sizing::scorePreviousStep(const PoolView& pool, PoolState& state) {
   if (!state.unscored) return;
-  // Machines that never came show nothing of what the step would have brought.
+  // While instances are overdue, the step has not taken effect: there is nothing to score.
   if (state.unscored->before.units > 0 && pool.overdue > 0) return state.unscored.reset();
-  Outcome outcome = state.unscored->before;
+  StepOutcome outcome = state.unscored->before;
   outcome.waitAfterS = pool.queueWaitS;
   outcome.costAfter = pool.machines * pool.ratePerHour;
   const double value = payoff(outcome, frontier_);
@@ -60,48 +62,48 @@
   state.unscored.reset();
 }
 
-Sizing::Decision Sizing::decide(const PoolView& pool, const Context& context) {
+Sizing::Decision Sizing::chooseUnits(const PoolView& pool, const PoolContext& context) {
   if (std::bernoulli_distribution(probeChance_)(random_)) {
     return Decision{
         std::uniform_int_distribution<int>(constants::kMinStepUnits, constants::kMaxStepUnits)(random_),
         "probe"};
   }
   const auto retrieved = buffer_.retrieve(context, static_cast<std::size_t>(settings_.operators.episodes));
-  if (const auto choice = choose(retrieved, context))
+  if (const auto choice = chooseStep(retrieved, context))
     return Decision{choice->units, "episodes:" + std::to_string(choice->support) +
                                        ",value:" + std::to_string(choice->value)};
-  return Decision{followQueue(pool), "queue"};
+  return Decision{unitsForQueue(pool), "queue"};
 }
 
-Outcome Sizing::outcomeBefore(const PoolView& pool, int units) const {
-  Outcome before;
+StepOutcome Sizing::outcomeBefore(const PoolView& pool, int units) const {
+  StepOutcome before;
   before.waitBeforeS = pool.queueWaitS;
-  before.waitBaselineS = constants::kMaxWaitTargets * targetS();
-  before.waitMostS = before.waitBaselineS;
-  before.targetS = targetS();
+  before.waitBaselineS = constants::kMaxWaitTargets * queueWaitTargetS();
+  before.maxWaitS = before.waitBaselineS;
+  before.targetS = queueWaitTargetS();
   before.costBefore = pool.machines * pool.ratePerHour;
-  // A step of a large pool is weighed against that pool: against a few machines' money any would look
-  // ruinous.
+  // The cost of a step is compared with the cost of its pool: compared with that of a few machines, any step
+  // of a large pool would look too expensive.
   const double rate = std::max(pool.ratePerHour, 1e-6);
   before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * rate;
   const double grown =
       pool.machines * (1.0 + 1.0 * constants::kMaxStepUnits / constants::kDefaultStepDivisor);
-  before.costMost = std::max(constants::kSmallPoolMachines, grown) * rate;
+  before.maxCost = std::max(constants::kSmallPoolMachines, grown) * rate;
   before.units = units;
   return before;
 }
 
 std::vector<Step> Sizing::round(Time now, const std::vector<PoolView>& pools) {
-  next_ = now + wire::seconds(settings_.operators.sizingRoundS);
+  nextRoundAt_ = now + wire::seconds(settings_.operators.sizingRoundS);
   std::vector<Step> steps;
   for (const PoolView& pool : pools) {
-    PoolState& state = states_[pool.key];
-    score(pool, state);
-    // A pool of zero has no eighth: how it starts is for the scale-out for unmet work.
+    PoolState& state = poolStates_[pool.key];
+    scorePreviousStep(pool, state);
+    // An empty pool has no unit: the scale-out for unplaced demand starts it.
     if (pool.machines == 0) continue;
-    const Context context = contextOf(pool);
-    Decision decision = decide(pool, context);
-    const int units = clamp(pool, state, decision.units, now);
+    const PoolContext context = contextOf(pool);
+    Decision decision = chooseUnits(pool, context);
+    const int units = allowedUnits(pool, state, decision.units, now);
     state.unscored = UnscoredStep{context, outcomeBefore(pool, units)};
     if (units == 0) continue;
     Step step{pool.key, units, units * unitOf(pool.machines, settings_.operators.stepDivisor),
@@ -120,17 +122,17 @@
 }
 
 void Sizing::onScaleOutRefused(const PoolKey& pool) {
-  PoolState& state = states_[pool];
+  PoolState& state = poolStates_[pool];
   state.lastScaleOut = state.previousScaleOut;
   state.unscored.reset();
 }
 
 Json Sizing::encode(std::size_t valueSizeLimit) const {
   Json points = Json::array();
-  for (const Point& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
+  for (const ParetoPoint& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
   Json out{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
-  for (std::size_t most = constants::kMaxStoredEpisodes; most > 0; most /= 2) {
-    out["episodes"] = buffer_.encode(most);
+  for (std::size_t limit = constants::kMaxStoredEpisodes; limit > 0; limit /= 2) {
+    out["episodes"] = buffer_.encode(limit);
     if (out.dump().size() <= valueSizeLimit) break;
     out["episodes"] = Json::array();
   }
@@ -144,14 +146,14 @@
   if (episodes == nullptr || points == nullptr || !points->is_array() ||
       points->size() > constants::kMaxFrontierPoints || !probe || *probe > 1)
     return false;
-  std::vector<Point> read;
+  std::vector<ParetoPoint> decoded;
   for (const Json& point : *points) {
     if (!point.is_array() || point.size() != 2 || !point[0].is_number() || !point[1].is_number())
       return false;
-    read.push_back(Point{point[0].get<double>(), point[1].get<double>()});
+    decoded.push_back(ParetoPoint{point[0].get<double>(), point[1].get<double>()});
   }
   if (!buffer_.decode(*episodes)) return false;
-  frontier_.set(std::move(read));
+  frontier_.set(std::move(decoded));
   probeChance_ = std::max(settings_.operators.probeFloor, *probe);
   return true;
 }
--- a/src/fleet/sizing.hpp
+++ b/src/fleet/sizing.hpp
@@ -8,6 +8,8 @@
 #include <vector>
 
 #include "fleet/episodes.hpp"
+#include "fleet/pareto.hpp"
+#include "fleet/payoff.hpp"
 #include "fleet/pools.hpp"
 
 namespace reachhoist::fleet {
@@ -34,7 +36,7 @@
   }
 
   // Whether the next round is due.
-  bool due(Time now) const { return now >= next_; }
+  bool due(Time now) const { return now >= nextRoundAt_; }
   // Scores the steps of the last round and chooses the next ones; pools without a step are left out.
   std::vector<Step> round(Time now, const std::vector<PoolView>& pools);
   // An instance request of the last round was refused: it counts as no step, and its episode is dropped.
@@ -45,38 +47,43 @@
   double probeChance() const { return probeChance_; }
   // The copy for a new leader, with as many episodes as fit into `valueSizeLimit` bytes of JSON.
   Json encode(std::size_t valueSizeLimit) const;
-  // False: malformed, nothing was taken.
+  // Takes over such a copy. False if it is malformed; nothing is changed then.
   bool decode(const Json& value);
 
  private:
   // A step that waits for its settling window, one round, to be scored.
   struct UnscoredStep {
-    Context context{};
-    Outcome before;
+    PoolContext context{};
+    StepOutcome before;
   };
   struct PoolState {
     Time lastScaleOut{};
     Time lastScaleIn{};
-    Time previousScaleOut{};
+    Time previousScaleOut{};  // restored if the last scale-out is refused
     std::optional<UnscoredStep> unscored;
   };
-  // The units of a step before clamping, and why.
+  // The units of a step before limits and cooldowns, and why they were chosen.
   struct Decision {
     int units = 0;
     std::string why;
   };
-  Context contextOf(const PoolView& pool) const;
-  Decision decide(const PoolView& pool, const Context& context);
-  int clamp(const PoolView& pool, const PoolState& state, int units, Time now) const;
-  int followQueue(const PoolView& pool) const;
-  Outcome outcomeBefore(const PoolView& pool, int units) const;
-  void score(const PoolView& pool, PoolState& state);
+  PoolContext contextOf(const PoolView& pool) const;
+  // Chooses units by a probe, by the retrieved episodes or by the queue.
+  Decision chooseUnits(const PoolView& pool, const PoolContext& context);
+  // The nearest units that the limits and cooldowns allow.
+  int allowedUnits(const PoolView& pool, const PoolState& state, int units, Time now) const;
+  // Units by the pool's queue wait alone.
+  int unitsForQueue(const PoolView& pool) const;
+  // The outcome of a step chosen now, as far as it is known before the step.
+  StepOutcome outcomeBefore(const PoolView& pool, int units) const;
+  // Scores the pool's step of the last round, if there is one, and stores the episode.
+  void scorePreviousStep(const PoolView& pool, PoolState& state);
 
   const config::Settings& settings_;
   std::mt19937_64 random_;
   double probeChance_ = 0;
-  Time next_{};
-  std::map<PoolKey, PoolState> states_;
+  Time nextRoundAt_{};
+  std::map<PoolKey, PoolState> poolStates_;
   EpisodeBuffer buffer_;
   ParetoFrontier frontier_;
 };
--- a/src/fleet/unmet_work.cpp
+++ b/src/fleet/unplaced_demand.cpp
@@ -1,18 +1,23 @@
-// Scale-out for unmet work: the instances to request for work that no machine, up or pending, has capacity
-// for.
+// Scale-out for unplaced demand: the instances to request for work that no machine, up or pending, has
+// capacity for.
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
 #include "fleet/pending_instances.hpp"
+#include "fleet/pool_offers.hpp"
+#include "fleet/scaling.hpp"
 
 namespace reachhoist::fleet {
 
 namespace {
 
-constexpr double kWaitForFreedCapacityS =
-    10;                               // work without a deadline waits this long for capacity to free up
-constexpr double kBootReserve = 1.5;  // times bootS that an instance may take until it helps
+// Work without a deadline waits this many seconds for capacity to free up.
+constexpr double kWaitForFreedCapacityS = 10;
+// An instance may take this factor of its catalogue boot time until it helps.
+constexpr double kBootReserve = 1.5;
+// Weight of a pool's size in the cost of a task: only breaks ties.
+constexpr double kSpreadWeight = 0.001;
 
 // How many tasks of the size `each` fit into `capacity`.
 int tasksThatFit(const wire::Resources& each, const wire::Resources& capacity) {
@@ -27,26 +32,27 @@
 }
 
 // Whether the job should get instances now, or can wait for capacity that frees up.
-bool urgent(const FleetWorld& world, const jobs::Job& job, double bootS) {
+bool urgent(const FleetSnapshot& snapshot, const jobs::Job& job, double bootS) {
   if (job.spec.priority >= wire::Priority::high) return true;
   // Capacity that frees up by itself comes in pieces.
   if (job.isGang()) return true;
   if (job.spec.dueS) {
     const double slackS =
-        static_cast<double>(job.dueMs() - world.wallMs) / 1000.0 - job.spec.expectS - kBootReserve * bootS;
+        static_cast<double>(job.dueMs() - snapshot.wallMs) / 1000.0 - job.spec.expectS - kBootReserve * bootS;
     if (slackS < kWaitForFreedCapacityS) return true;
   }
-  return wire::toSeconds(world.now - job.waitingSince) >= kWaitForFreedCapacityS;
+  return wire::toSeconds(snapshot.now - job.waitingSince) >= kWaitForFreedCapacityS;
 }
 
 // Services that end with their leases, as far as neither free capacity nor pending instances will take them.
-std::vector<QueuedWork> uncoveredServices(const FleetWorld& world, std::vector<PendingInstance> capacity) {
+std::vector<QueuedWork> uncoveredServices(const FleetSnapshot& snapshot,
+                                          std::vector<PendingInstance> capacity) {
   std::vector<QueuedWork> out;
-  if (world.servicesAtRisk.empty()) return out;
-  for (const Machine* machine : world.machines)
-    if (acceptsWork(*machine) && !isPartitioned(world, *machine))
+  if (snapshot.servicesAtRisk.empty()) return out;
+  for (const Machine* machine : snapshot.machines)
+    if (acceptsWork(*machine) && !isPartitioned(snapshot, *machine))
       capacity.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
-  for (QueuedWork& queued : queuedWork(world, world.servicesAtRisk, false))
+  for (QueuedWork& queued : queuedWork(snapshot, snapshot.servicesAtRisk, false))
     if (!packIntoAny(queued, capacity)) out.push_back(std::move(queued));
   return out;
 }
@@ -59,23 +65,25 @@
 };
 
 // Bin-packs the work that no machine has capacity for into instances to request.
-class Packer {
+class ScaleOutPacker {
  public:
-  explicit Packer(const FleetWorld& world) : world_(world), pools_(offeredPools(world.catalog)) {
-    state_.pending = pendingInstances(world);
-    for (const Machine* machine : world.machines)
+  explicit ScaleOutPacker(const FleetSnapshot& snapshot)
+      : snapshot_(snapshot), pools_(offeredPools(snapshot.catalog)) {
+    state_.pending = pendingInstances(snapshot);
+    for (const Machine* machine : snapshot.machines)
       if (countsTowardPool(*machine)) ++state_.poolSizes[poolOf(*machine)];
     // While a zone is partitioned away, instances there would be of no use, unless there is no other.
-    hasUncutZone_ = std::any_of(pools_.begin(), pools_.end(),
-                                [&](const PoolOffer& pool) { return !world.cut.contains(pool.key.zone); });
+    hasReachableZone_ = std::any_of(pools_.begin(), pools_.end(), [&](const PoolOffer& pool) {
+      return !snapshot.partitionedZones.contains(pool.key.zone);
+    });
   }
 
   std::vector<ScaleOutRequest> run() {
-    std::vector<QueuedWork> work = uncoveredWork(world_, state_.pending);
-    for (QueuedWork& queued : uncoveredServices(world_, state_.pending)) work.push_back(std::move(queued));
+    std::vector<QueuedWork> work = uncoveredWork(snapshot_, state_.pending);
+    for (QueuedWork& queued : uncoveredServices(snapshot_, state_.pending)) work.push_back(std::move(queued));
     firstRequested_ = state_.pending.size();  // what is requested here for earlier work takes later work too
     for (QueuedWork& queued : work) {
-      if (queued.unmet.job->isGang()) {
+      if (queued.demand.job->isGang()) {
         packGang(queued);
       } else {
         pack(queued);
@@ -89,9 +97,9 @@
 
  private:
   void pack(QueuedWork& queued) {
-    for (std::size_t i = firstRequested_; i < state_.pending.size() && queued.unmet.tasks > 0; ++i)
+    for (std::size_t i = firstRequested_; i < state_.pending.size() && queued.demand.tasks > 0; ++i)
       packInto(queued, state_.pending[i]);
-    while (queued.unmet.tasks > 0) {
+    while (queued.demand.tasks > 0) {
       const PoolOffer* pool = cheapest(queued);
       if (pool == nullptr) return;
       ++state_.counts[pool->key];
@@ -103,10 +111,10 @@
 
   // A part of a gang is of no use: either all of its tasks find capacity, or nothing is requested for it.
   void packGang(QueuedWork& queued) {
-    const jobs::Job& job = *queued.unmet.job;
+    const jobs::Job& job = *queued.demand.job;
     const PackState before = state_;
     pack(queued);
-    if (queued.unmet.tasks > 0) {
+    if (queued.demand.tasks > 0) {
       state_ = before;
       return;
     }
@@ -119,11 +127,13 @@
   // Whether the job may get instances of the pool now.
   bool mayUse(const QueuedWork& queued, const PoolOffer& pool) const {
     const auto& [key, machineType] = pool;
-    const wire::JobSpec& spec = queued.unmet.job->spec;
-    if (world_.refused.contains(key) || (hasUncutZone_ && world_.cut.contains(key.zone))) return false;
+    const wire::JobSpec& spec = queued.demand.job->spec;
+    if (snapshot_.refusedPools.contains(key) ||
+        (hasReachableZone_ && snapshot_.partitionedZones.contains(key.zone)))
+      return false;
     if (!placement::allows(spec, key.machineType, key.zone, key.spot)) return false;
-    return placement::zoneAllows(spec, queued.byZone, key.zone) &&
-           urgent(world_, *queued.unmet.job, machineType->bootS);
+    return placement::zoneAllows(spec, queued.tasksByZone, key.zone) &&
+           urgent(snapshot_, *queued.demand.job, machineType->bootS);
   }
 
   // Price of the capacity of one task in the pool; a larger pool in one zone breaks ties the other way, to
@@ -131,9 +141,9 @@
   double taskCost(const QueuedWork& queued, const PoolOffer& pool, int fit) const {
     const auto& [key, machineType] = pool;
     const auto size = state_.poolSizes.find(key);
-    return hourlyPrice(*machineType, key.spot) / std::min(fit, static_cast<int>(queued.unmet.tasks)) *
-           world_.bootTimes.costFactor(key.machineType, key.zone, world_.now) *
-           (1 + 0.001 * (size == state_.poolSizes.end() ? 0 : size->second));
+    return hourlyPrice(*machineType, key.spot) / std::min(fit, static_cast<int>(queued.demand.tasks)) *
+           snapshot_.bootTimes.costFactor(key.machineType, key.zone, snapshot_.now) *
+           (1 + kSpreadWeight * (size == state_.poolSizes.end() ? 0 : size->second));
   }
 
   // The pool where the job's tasks cost least; null where none may be used.
@@ -142,7 +152,7 @@
     double bestCost = std::numeric_limits<double>::max();
     for (const PoolOffer& pool : pools_) {
       if (!mayUse(queued, pool)) continue;
-      const int fit = tasksThatFit(queued.unmet.job->spec.each, pool.machineType->capacity);
+      const int fit = tasksThatFit(queued.demand.job->spec.each, pool.machineType->capacity);
       if (fit < 1) continue;
       const double cost = taskCost(queued, pool, fit);
       if (cost >= bestCost) continue;
@@ -152,17 +162,18 @@
     return best;
   }
 
-  const FleetWorld& world_;
+  const FleetSnapshot& snapshot_;
   std::vector<PoolOffer> pools_;
   PackState state_;
   std::size_t firstRequested_ = 0;
-  std::map<PoolKey, std::vector<const placement::Job*>>
-      gangs_;  // that wait for instances requested in the pool
-  bool hasUncutZone_ = false;
+  std::map<PoolKey, std::vector<const placement::Job*>> gangs_;  // waiting for the pool's requested instances
+  bool hasReachableZone_ = false;
 };
 
 }  // namespace
 
-std::vector<ScaleOutRequest> scaleOutForUnmetWork(const FleetWorld& world) { return Packer(world).run(); }
+std::vector<ScaleOutRequest> scaleOutForUnplacedDemand(const FleetSnapshot& snapshot) {
+  return ScaleOutPacker(snapshot).run();
+}
 
 }  // namespace reachhoist::fleet
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -148,7 +148,7 @@
   void detectBootTimeouts();
   double bootSecondsOf(const Machine& machine) const;
   void autoscale();
-  fleet::FleetWorld fleetWorld();
+  fleet::FleetSnapshot fleetSnapshot();
   // Services on machines that are cut off, by job.
   std::vector<placement::UnplacedDemand> servicesAtRisk();
   void requestInstances(const cloud::PoolKey& pool, int count, const char* why);
--- a/src/service/leader_autoscaling.cpp
+++ b/src/service/leader_autoscaling.cpp
@@ -2,6 +2,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "fleet/headroom.hpp"
+#include "fleet/scaling.hpp"
 #include "service/leader.hpp"
 
 namespace reachhoist::service {
@@ -177,26 +179,26 @@
   return out;
 }
 
-fleet::FleetWorld Leader::fleetWorld() {
-  fleet::FleetWorld world{context_.settings,
-                          *context_.catalog,
-                          context_.now,
-                          context_.wallMs,
-                          allMachines(),
-                          unplaced_,
-                          {},
-                          {},
-                          partitionDetector_.zones(),
-                          servicesAtRisk(),
-                          boots_};
-  std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
+fleet::FleetSnapshot Leader::fleetSnapshot() {
+  fleet::FleetSnapshot world{context_.settings,
+                             *context_.catalog,
+                             context_.now,
+                             context_.wallMs,
+                             allMachines(),
+                             unplaced_,
+                             {},
+                             {},
+                             partitionDetector_.zones(),
+                             servicesAtRisk(),
+                             boots_};
+  std::erase_if(world.unplaced, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
+  for (const auto& [pool, until] : refusedUntil_) world.refusedPools.insert(pool);
   for (const auto& machineType : *context_.catalog) {
     for (const std::string& zone : machineType.zones) {
       for (const bool spot : {false, true}) {
         const cloud::PoolKey key{machineType.label, zone, spot};
-        if (const std::size_t count = cloud_->pending(key); count > 0) world.pending[key] = count;
+        if (const std::size_t count = cloud_->pending(key); count > 0) world.pendingRequests[key] = count;
       }
     }
   }
@@ -214,7 +216,7 @@
   const auto settle = wire::seconds(context_.settings.workers.heartbeatIntervalS * 1.5 + 1);
   if (context_.now - actingSince_ < settle && !machines_.all().empty()) return;
   if (sizing_.due(context_.now)) {
-    const auto world = fleetWorld();
+    const auto world = fleetSnapshot();
     fleet::Headroom spare(world);
     for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(world))) {
       context_.event(
@@ -235,11 +237,11 @@
   }
   if (context_.now < nextScaleOut_) return;
   nextScaleOut_ = context_.now + constants::kScaleOutInterval;
-  auto world = fleetWorld();
-  for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForUnmetWork(world)) {
+  auto world = fleetSnapshot();
+  for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForUnplacedDemand(world)) {
     requestInstances(rental.pool, rental.count, "shortfall");
     for (const jobs::Job* gang : rental.gangs) gangScaleOuts_[rental.pool].insert(gang->spec.ref.text);
-    world.pending[rental.pool] += static_cast<std::size_t>(rental.count);
+    world.pendingRequests[rental.pool] += static_cast<std::size_t>(rental.count);
   }
   for (const fleet::ScaleOutRequest& rental : fleet::scaleOutForReserve(world))
     requestInstances(rental.pool, rental.count, "reserve");
