--- a/src/fleet/boot_times.hpp
+++ b/src/fleet/boot_times.hpp
@@ -47,8 +47,8 @@
   std::map<Key, std::deque<Boot>> records_;
 };
 
-// The booting and running instances grouped by when they were requested: those that have come up tell how to
-// read the silence of those that have not.
+// The booting and running instances grouped by when they were requested: those that have come up show whether
+// the others are late.
 class BootCohorts {
  public:
   explicit BootCohorts(const std::vector<machines::Machine*>& machines);
