--- a/src/admin/rpc/service.cpp
+++ b/src/admin/rpc/service.cpp
@@ -18,7 +18,7 @@
   return std::min<StateLoop::Deadline>(context.deadline(), system_clock::now() + kMaxDeadline);
 }
 
-grpc::Status failure(StatusCode code, const config::Problem& problem) {
+grpc::Status failure(StatusCode code, const config::FieldError& problem) {
   return {code, problem.field + " " + problem.reason};
 }
 
@@ -44,9 +44,9 @@
 }
 
 // Nothing, or what is wrong with the request.
-std::optional<config::Problem> toChange(const v1::SetRequest& request, shares::Change& out) {
+std::optional<config::FieldError> toChange(const v1::SetRequest& request, shares::Change& out) {
   const auto badGroup = [](const std::string& text) {
-    return config::Problem{"group " + text, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
+    return config::FieldError{"group " + text, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
   };
   out.requestId = request.request_id();
   if (request.has_expected_generation()) out.expectedGeneration = request.expected_generation();
--- a/src/admin/share_editor.hpp
+++ b/src/admin/share_editor.hpp
@@ -28,7 +28,7 @@
 struct EditResult {
   EditVerdict verdict = EditVerdict::unavailable;
   std::uint64_t generation = 0;  // of the stored table; 0 where it is not known
-  config::Problem problem;       // empty unless the change failed
+  config::FieldError problem;    // empty unless the change failed
 };
 
 // The result of a change that got no definite answer by its deadline.
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using reachhoist::config::Problem;
+using reachhoist::config::FieldError;
 using reachhoist::config::Settings;
 using reachhoist::service::Level;
 
@@ -37,13 +37,13 @@
   run->excludes(check);
 }
 
-std::optional<Problem> loadSettings(const std::string& path, const std::string& operatorsPath,
+std::optional<FieldError> loadSettings(const std::string& path, const std::string& operatorsPath,
                                     Settings& settings) {
   if (auto problem = reachhoist::config::loadPlatform(path, settings)) return problem;
   if (!operatorsPath.empty()) {
     if (auto problem = reachhoist::config::loadOperators(operatorsPath, settings)) return problem;
   }
-  if (!settings.operators.shares.on) return std::nullopt;
+  if (!settings.operators.shares.enabled) return std::nullopt;
   reachhoist::shares::Table table;
   return reachhoist::shares::fromOperators(settings, table);
 }
@@ -77,7 +77,7 @@
   logger.flush_on(spdlog::level::debug);
   const auto sink = [&logger](Level of, const std::string& line) { logger.log(toSpdlog(of), line); };
   reachhoist::service::Runtime runtime(settings, level, sink);
-  const Problem problem = runtime.run();
+  const FieldError problem = runtime.run();
   std::cerr << "reachhoist: " << problem.field << ": " << problem.reason << "\n";
   return kFailure;
 }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -28,18 +28,18 @@
       settings_(settings),
       incarnationName_(std::move(incarnationName)),
       handlers_(std::move(handlers)),
-      budget_(settings.cloudRps * kRateShare, settings.cloudRps) {}
+      budget_(settings.cloud.requestsPerS * kRateShare, settings.cloud.requestsPerS) {}
 
 bool Client::call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done) {
   if (!budget_.affords(now, 1)) return false;
   budget_.take(now, 1);
   wire::Call call;
   call.to = wire::Service::cloud;
-  call.endpoint = settings_.cloudEndpoint;
+  call.endpoint = settings_.endpoints.cloud;
   call.method = method;
   call.path = std::move(path);
   call.body = std::move(body);
-  call.timeout = constants::kCloudTimeout;
+  call.timeout = constants::kCloudCallTimeout;
   calls_.start(std::move(call), guard_.wrap(std::move(done)));
   return true;
 }
@@ -49,7 +49,7 @@
     auto request = std::make_shared<InstanceRequest>();
     request->name = incarnationName_ + "-" + std::to_string(++requestCount_);
     request->pool = pool;
-    request->count = std::min(count, constants::kInstanceRequestMax);
+    request->count = std::min(count, constants::kMaxInstancesPerRequest);
     count -= request->count;
     requests_.push_back(request);
   }
@@ -122,7 +122,7 @@
 void Client::sendReleases(Time now) {
   std::vector<std::string> batch;
   for (const std::string& host : releases_) {
-    if (batch.size() == constants::kReleaseRequestMax) break;
+    if (batch.size() == constants::kMaxReleasesPerRequest) break;
     batch.push_back(host);
   }
   releaseInFlight_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
@@ -140,9 +140,9 @@
 }
 
 void Client::sendList(Time now) {
-  listInFlight_ =
-      call(now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kListPage), {},
-           [this](const wire::CallResult& result) { onListPage(result); });
+  listInFlight_ = call(
+      now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kInstanceListPageSize),
+      {}, [this](const wire::CallResult& result) { onListPage(result); });
 }
 
 void Client::onListPage(const wire::CallResult& result) {
@@ -164,7 +164,7 @@
     nextList_ = now_;
     return;
   }
-  nextList_ = now_ + constants::kListEvery;
+  nextList_ = now_ + constants::kInstanceListInterval;
   listAfter_.clear();
   handlers_.listed(std::exchange(listedSoFar_, {}));
 }
@@ -174,7 +174,7 @@
     catalogInFlight_ = false;
     auto catalog = result.ok() ? wire::decodeCatalog(result.body)
                                : wire::Result<std::vector<wire::MachineType>>::failure("no answer");
-    nextCatalog_ = now_ + (catalog ? constants::kCatalogEvery : constants::kCatalogRetry);
+    nextCatalog_ = now_ + (catalog ? constants::kCatalogInterval : constants::kCatalogRetryInterval);
     if (catalog) handlers_.catalog(std::move(*catalog));
   });
 }
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -16,7 +16,7 @@
     : client_(client),
       settings_(settings),
       handlers_(std::move(handlers)),
-      feed_(client, kPrefix, state::Urgency::lease, constants::kConfirmEvery,
+      feed_(client, kPrefix, state::Urgency::lease, constants::kLeadershipConfirmInterval,
             {[this](const auto& key, const Json* value, std::uint64_t revision) {
                onEntry(key, value, revision);
              },
@@ -54,7 +54,7 @@
 
 std::optional<ConditionalWrite> Leadership::raiseLayout() const {
   if (layoutRaised() || termRevision_ == 0 || term_ == 0) return std::nullopt;
-  return ConditionalWrite{{kTermKey, termRevision_}, writeTerm(term_, constants::kLayoutGangs)};
+  return ConditionalWrite{{kTermKey, termRevision_}, writeTerm(term_, constants::kRecordLayoutWithGangs)};
 }
 
 bool Leadership::anotherLeads() const { return !leader_.empty() && leader_ != settings_.label; }
@@ -82,7 +82,7 @@
 }
 
 void Leadership::checkLayout(std::uint64_t layout) {
-  if (layout == constants::kLayout || layout == constants::kLayoutGangs) {
+  if (layout == constants::kRecordLayout || layout == constants::kRecordLayoutWithGangs) {
     layout_ = std::max(layout_, layout);
     if (state_ == State::refusing) to(State::observing);
     return;
@@ -115,21 +115,21 @@
 }
 
 void Leadership::pause() {
-  std::uniform_int_distribution<long> spread(0, constants::kElectionSpread.count());
+  std::uniform_int_distribution<long> spread(0, constants::kElectionJitter.count());
   const bool urgent = nextAttemptAt_ == Time{} || now_ >= nextAttemptAt_;
   nextAttemptAt_ = now_ + std::chrono::milliseconds(spread(jitter_)) +
-                   (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetry);
+                   (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetryInterval);
   to(State::waiting);
 }
 
 void Leadership::retryElection() {
-  nextAttemptAt_ = now_ + constants::kElectionRetry;
+  nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
   to(State::waiting);
 }
 
 void Leadership::requestLease() {
   to(State::leasing);
-  client_.grantLease(now_, constants::kLeaderTtl, [this](const wire::CallResult& result) {
+  client_.grantLease(now_, constants::kLeaderLeaseTtl, [this](const wire::CallResult& result) {
     if (state_ != State::leasing) return;
     const auto leaseId = state::grantedLease(result);
     if (!leaseId) return retryElection();
@@ -150,7 +150,7 @@
   transaction.conditions = {{kLeaderKey, leaderRevision_}, {kTermKey, termRevision_}};
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
   transaction.writes.push_back(writeTerm(term, layout_));
-  const bool fitsAll = partitionCount_ + transaction.writes.size() <= settings_.stateTxnOps;
+  const bool fitsAll = partitionCount_ + transaction.writes.size() <= settings_.state.opsPerTransaction;
   const PartitionId included = fitsAll ? partitionCount_ : 0;
   for (PartitionId partition = 0; partition < included; ++partition)
     transaction.writes.push_back(writePartition(partition, term));
@@ -174,7 +174,7 @@
   leaderRevision_ = ownRevision_;
   termRevision_ = ownRevision_;
   confirmedAt_ = sent;
-  nextRenewAt_ = now_ + constants::kLeaderRenew;
+  nextRenewAt_ = now_ + constants::kLeaderRenewInterval;
   client_.setLeading(true);
   partitionRevisions_.assign(included, ownRevision_);
   to(State::taking);
@@ -192,7 +192,7 @@
   }
   acquireInFlight_ = true;
   const auto from = static_cast<PartitionId>(partitionRevisions_.size());
-  const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.stateTxnOps);
+  const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.state.opsPerTransaction);
   state::Transaction transaction;
   transaction.conditions = {{kTermKey, ownRevision_}};
   for (PartitionId partition = from; partition < end; ++partition)
@@ -230,7 +230,7 @@
 }
 
 void Leadership::onRenewed(const wire::CallResult& result, Time sent) {
-  nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenew : now_ + constants::kStateBackoff);
+  nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenewInterval : now_ + constants::kStateBackoff);
   if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
   if (result.status != http::kNotFound) return;
   if (state_ == State::taking) {
@@ -249,7 +249,7 @@
   if (state_ != State::leading) return;
   client_.revokeLease(now_, leaseId_);
   depose(why);
-  nextAttemptAt_ = now_ + constants::kStepDownPause;
+  nextAttemptAt_ = now_ + constants::kStepDownCooldown;
 }
 
 void Leadership::resign(const char* why) {
--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -62,7 +62,7 @@
   // Label of the leader as the store last told it; empty if there is none.
   const std::string& leader() const { return leader_; }
   // Whether the stored layout is already the one with gangs.
-  bool layoutRaised() const { return layout_ >= constants::kLayoutGangs; }
+  bool layoutRaised() const { return layout_ >= constants::kRecordLayoutWithGangs; }
   // The write that raises the stored layout, so that no version that can't read it leads from then on. The
   // first record of the new layout must be written in the same transaction. Nothing if the layout is raised
   // already or the term is not known.
@@ -111,7 +111,7 @@
   std::uint64_t term_ = 0;         // the highest known
   std::uint64_t ownRevision_ = 0;  // of the leader key as this controller wrote it last
   unsigned partitionCount_ = 1;
-  std::uint64_t layout_ = constants::kLayout;
+  std::uint64_t layout_ = constants::kRecordLayout;
   std::vector<std::uint64_t> partitionRevisions_;  // of the partitions acquired so far
   Time retryAcquireAt_{};
   bool acquireInFlight_ = false;
--- a/src/jobs/failures.cpp
+++ b/src/jobs/failures.cpp
@@ -9,17 +9,18 @@
 
 void FailureAttribution::recordFailure(const std::string& host, Duration ran) {
   // Bounded: a job that fails everywhere must not remember every machine of a large fleet.
-  if (hosts_.size() < constants::kFailureHostsMost) hosts_.insert(host);
+  if (hosts_.size() < constants::kMaxFailureHosts) hosts_.insert(host);
   longestRun_ = std::max(longestRun_, ran);
 }
 
-bool FailureAttribution::isWidespread() const { return hosts_.size() >= constants::kWrongJobMachines; }
+bool FailureAttribution::isWidespread() const { return hosts_.size() >= constants::kFaultyJobMachines; }
 
 void FailureAttribution::attributeToJob(Time now) {
   // Tasks that were started together fail together: they count as one retry.
   if (now < backoffUntil_) return;
-  const auto backoff = constants::kJobErrorBackoff * (1 << std::min(retries_, constants::kJobErrorDoublings));
-  backoffUntil_ = now + std::min<Duration>(backoff, constants::kJobErrorBackoffMost);
+  const auto backoff =
+      constants::kJobErrorBackoff * (1 << std::min(retries_, constants::kMaxJobErrorDoublings));
+  backoffUntil_ = now + std::min<Duration>(backoff, constants::kMaxJobErrorBackoff);
   ++retries_;
 }
 
--- a/src/jobs/failures.hpp
+++ b/src/jobs/failures.hpp
@@ -28,7 +28,7 @@
   bool jobAtFault() const { return retries_ > 0; }
   // Whether a task of the job failed on the host.
   bool failedOn(const std::string& host) const { return hosts_.contains(host); }
-  // Distinct machines that tasks failed on, up to `kFailureHostsMost`.
+  // Distinct machines that tasks failed on, up to `kMaxFailureHosts`.
   std::size_t failedMachineCount() const { return hosts_.size(); }
   // The longest run time of a failed attempt. An attempt that has run for longer counts as a success.
   Duration longestRun() const { return longestRun_; }
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -32,8 +32,9 @@
   ++partialScaleOuts;
   // No backoff the first time: another pool may have what this one lacked.
   if (partialScaleOuts == 1) return;
-  const auto backoff = constants::kRefusedPause * (1 << std::min(partialScaleOuts - 2, kScaleOutDoublings));
-  nextScaleOut = now + std::min<std::chrono::milliseconds>(backoff, constants::kGangScaleOutBackoffMax);
+  const auto backoff =
+      constants::kRefusedPoolBackoff * (1 << std::min(partialScaleOuts - 2, kScaleOutDoublings));
+  nextScaleOut = now + std::min<std::chrono::milliseconds>(backoff, constants::kMaxGangScaleOutBackoff);
 }
 
 std::string jobKey(const std::string& ref) { return "jobs/" + ref; }
@@ -88,8 +89,8 @@
 }
 
 std::string Job::encodeDoneChunk(std::uint32_t chunk) const {
-  const std::uint32_t begin = chunk * constants::kDoneChunk;
-  const std::uint32_t end = std::min(spec.taskCount, begin + constants::kDoneChunk);
+  const std::uint32_t begin = chunk * constants::kTasksPerDoneChunk;
+  const std::uint32_t end = std::min(spec.taskCount, begin + constants::kTasksPerDoneChunk);
   std::string hex;
   for (std::uint32_t first = begin; first < end; first += kTasksPerHexDigit) {
     unsigned digit = 0;
@@ -101,9 +102,9 @@
 }
 
 bool Job::loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now) {
-  const std::uint32_t begin = chunk * constants::kDoneChunk;
-  if (chunk > spec.taskCount / constants::kDoneChunk) return false;
-  if (hex.size() > constants::kDoneChunk / kTasksPerHexDigit) return false;
+  const std::uint32_t begin = chunk * constants::kTasksPerDoneChunk;
+  if (chunk > spec.taskCount / constants::kTasksPerDoneChunk) return false;
+  if (hex.size() > constants::kTasksPerDoneChunk / kTasksPerHexDigit) return false;
   for (std::size_t i = 0; i < hex.size(); ++i) {
     const int digit = hexValue(hex[i]);
     if (digit < 0) return false;
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -94,7 +94,8 @@
   void beginTracking(Time now);
   // Frees the state of the tasks and keeps their counts for display.
   void endTracking();
-  // The completion record of a chunk of `kDoneChunk` tasks: one bit a task, in hex, lowest index first.
+  // The completion record of a chunk of `kTasksPerDoneChunk` tasks: one bit a task, in hex, lowest index
+  // first.
   std::string encodeDoneChunk(std::uint32_t chunk) const;
   // Marks the tasks of a completion record as completed. False if the record is malformed; tasks before the
   // malformed digit stay marked.
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -54,7 +54,7 @@
 }
 
 double Machine::pullSeconds(double gigabytes) const {
-  return gigabytes / std::max(pullGbPerS, constants::kPullGbPerSLeast);
+  return gigabytes / std::max(pullGbPerS, constants::kMinPullGbPerS);
 }
 
 void Machine::recordImage(const std::string& image, double sizeGb) {
--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -63,7 +63,7 @@
 bool FrameListener::takeFrames(std::string& buffer) {
   while (buffer.size() >= kPrefixBytes) {
     const std::size_t size = decodePrefix(buffer);
-    if (size > constants::kMaxFrameBytes) return false;
+    if (size > constants::kMaxPeerFrameBytes) return false;
     if (buffer.size() < kPrefixBytes + size) break;
     handler_(buffer.substr(kPrefixBytes, size));
     buffer.erase(0, kPrefixBytes + size);
@@ -76,8 +76,8 @@
 }
 
 void FrameSender::send(const std::string& frame) {
-  if (frame.size() > constants::kMaxFrameBytes) return;
-  if (backlogBytes_ + frame.size() > constants::kMaxPeerBacklog) return;
+  if (frame.size() > constants::kMaxPeerFrameBytes) return;
+  if (backlogBytes_ + frame.size() > constants::kMaxPeerBacklogBytes) return;
   std::string prefixed = encodePrefix(frame.size()) + frame;
   backlogBytes_ += prefixed.size();
   backlog_.push_back(std::move(prefixed));
@@ -101,7 +101,7 @@
         // Frames that waited for a failed connection are too old to be of use.
         backlog_.clear();
         backlogBytes_ = 0;
-        co_await reactor_.sleepUntil(reactor_.now() + constants::kPeerRetry);
+        co_await reactor_.sleepUntil(reactor_.now() + constants::kPeerRetryInterval);
         continue;
       }
     }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -48,7 +48,7 @@
 }  // namespace
 
 HttpClient::HttpClient(Reactor& reactor, std::size_t maxSockets)
-    : reactor_(reactor), pool_(maxSockets, constants::kPoolPerEndpoint, constants::kPoolIdle) {}
+    : reactor_(reactor), pool_(maxSockets, constants::kMaxIdlePerEndpoint, constants::kClientIdleTimeout) {}
 
 std::unique_ptr<Socket> HttpClient::takePooled(const std::string& endpoint) {
   for (;;) {
@@ -74,7 +74,7 @@
   result.sent = true;
   const std::string text = formatRequest(method, target, endpoint, body);
   if (!co_await socket->writeAll(text.data(), text.size(), deadline)) co_return result;
-  HttpParser parser(HttpParser::Kind::response, constants::kMaxAnswerBytes);
+  HttpParser parser(HttpParser::Kind::response, constants::kMaxResponseBytes);
   co_await readResponse(*socket, parser, deadline);
   if (parser.state() != HttpParser::State::complete) {
     result.tooLarge =
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -15,7 +15,7 @@
 struct HttpResult {
   int status = 0;         // HTTP status; 0: no response
   bool sent = false;      // false: certainly nothing of the request reached the other side
-  bool tooLarge = false;  // the response exceeded constants::kMaxAnswerBytes
+  bool tooLarge = false;  // the response exceeded constants::kMaxResponseBytes
   std::optional<int> retryAfterS;
   std::string body;
 };
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -56,7 +56,7 @@
 Task<void> HttpServer::serveRequests(ConnectionEntry entry) {
   Connection& connection = *entry;
   HttpParser parser(HttpParser::Kind::request, constants::kMaxBodyBytes);
-  Time deadline = reactor_.now() + constants::kHeadTimeout;
+  Time deadline = reactor_.now() + constants::kRequestReadTimeout;
   for (;;) {
     if (!co_await readRequest(connection, parser, deadline)) co_return;
     if (parser.state() == HttpParser::State::failed) {
@@ -69,7 +69,8 @@
     if (!co_await write(connection, std::move(text)) || !keepAlive) co_return;
     parser.next();
     connection.idle = parser.idle();
-    deadline = reactor_.now() + (connection.idle ? constants::kIdleTimeout : constants::kHeadTimeout);
+    deadline =
+        reactor_.now() + (connection.idle ? constants::kServerIdleTimeout : constants::kRequestReadTimeout);
     // Most recently used last.
     connections_.splice(connections_.end(), connections_, entry);
   }
@@ -83,7 +84,7 @@
     // The time-out of a request starts with its first byte, so that a trickle can't hold a connection.
     if (connection.idle) {
       connection.idle = false;
-      deadline = reactor_.now() + constants::kHeadTimeout;
+      deadline = reactor_.now() + constants::kRequestReadTimeout;
     }
     parser.feed({chunk.data(), got});
   }
@@ -107,7 +108,7 @@
 }
 
 Task<bool> HttpServer::write(Connection& connection, std::string text) {
-  const Time deadline = reactor_.now() + constants::kHeadTimeout;
+  const Time deadline = reactor_.now() + constants::kRequestReadTimeout;
   co_return co_await connection.socket->writeAll(text.data(), text.size(), deadline);
 }
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -52,11 +52,11 @@
   Task<void> serve(ConnectionEntry entry);
   Task<void> serveRequests(ConnectionEntry entry);
   // Reads until the parser has a request or has failed; false if the connection ended or timed out. deadline:
-  // of the first byte; once a request has begun, the whole of it has constants::kHeadTimeout.
+  // of the first byte; once a request has begun, the whole of it has constants::kRequestReadTimeout.
   Task<bool> readRequest(Connection& connection, HttpParser& parser, Time deadline);
   // Passes the request to the handler and awaits its response.
   Task<HttpResponse> handle(HttpMessage request);
-  // Writes the whole text; false if that fails or takes longer than constants::kHeadTimeout.
+  // Writes the whole text; false if that fails or takes longer than constants::kRequestReadTimeout.
   Task<bool> write(Connection& connection, std::string text);
   // Closes the connection that has been idle longest; false if all are busy.
   bool closeIdlest();
--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -44,13 +44,13 @@
   if (!machine.hasImage(job.spec.image)) {
     const double pullS = machine.pullSeconds(job.spec.sizeGb);
     const bool shared = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
-    seconds += shared ? pullS * constants::kSharedFetchS : pullS;
+    seconds += shared ? pullS * constants::kSharedFetchCostShare : pullS;
   }
-  if (job.spec.spot && !machine.spot) seconds += constants::kWrongKindS;
+  if (job.spec.spot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
   const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, kLeastCpus);
-  seconds +=
-      (job.spec.priority >= wire::Priority::high ? constants::kEmptyServiceS : constants::kEmptyArrayS) *
-      (1 - used);
+  seconds += (job.spec.priority >= wire::Priority::high ? constants::kEmptyMachineServicePenaltyS
+                                                        : constants::kEmptyMachineArrayPenaltyS) *
+             (1 - used);
   return seconds;
 }
 
--- a/src/placement/gang_placer.cpp
+++ b/src/placement/gang_placer.cpp
@@ -51,8 +51,8 @@
   // Fragmented capacity never adds up to a gang while other work keeps taking it. So what there is in the
   // best zone, and of the team's quota, is reserved for a bounded time, and again once the gang is starved.
   const auto waited = state_.input.now - job.waitingSince;
-  return reservedGangs_ < constants::kGangsHeld &&
-         (waited <= constants::kGangHold || waited >= constants::kOverlookedAfter);
+  return reservedGangs_ < constants::kMaxGangReservations &&
+         (waited <= constants::kGangReservationTimeout || waited >= constants::kStarvationTimeout);
 }
 
 void GangPlacer::place(Job& job) {
--- a/src/placement/job_order.cpp
+++ b/src/placement/job_order.cpp
@@ -15,7 +15,7 @@
   if (state.isWithinGuarantee(job.spec.ref.text))
     return QueuedJob{&job, JobTier::guaranteed, outlook.latestStartMs};
   const bool starved = (state.shareAccount && state.shareAccount->mustKeepRunning(job)) ||
-                       state.input.now - job.lastPlacedAt > constants::kOverlookedAfter;
+                       state.input.now - job.lastPlacedAt > constants::kStarvationTimeout;
   if (starved) return QueuedJob{&job, JobTier::starved, job.acceptedMs};
   const JobTier tier = outlook.reachable ? JobTier::sloReachable : JobTier::sloUnreachable;
   return QueuedJob{&job, tier, outlook.latestStartMs};
--- a/src/placement/preemption_rules.cpp
+++ b/src/placement/preemption_rules.cpp
@@ -42,7 +42,8 @@
   // Preempting one task of a gang stops the whole gang.
   if (attempt.gang) {
     const bool unreachable = state.unreachableGangs.contains(attempt.number);
-    const double stopS = unreachable ? constants::kUnreachableGangS : constants::kGangLossS;
+    const double stopS =
+        unreachable ? constants::kUnreachableGangPreemptionCostS : constants::kGangPreemptionCostS;
     return stopS + wire::toSeconds(state.input.now - attempt.placedAt);
   }
   if (attempt.phase != machines::AttemptPhase::running) return 0;
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -11,7 +11,7 @@
 // Tasks of the job that one round may start: of a starved job only a part, so that all starved jobs get some.
 std::uint32_t tasksPerRound(const QueuedJob& queued) {
   const std::uint32_t waiting = queued.job->waiting;
-  return queued.tier == JobTier::starved ? std::max(1U, waiting / constants::kOverlookedShare) : waiting;
+  return queued.tier == JobTier::starved ? std::max(1U, waiting / constants::kStarvedJobDivisor) : waiting;
 }
 
 }  // namespace
@@ -59,9 +59,9 @@
 }
 
 void Round::retryJobAtFault(Job& job) {
-  if (job.placed >= constants::kWrongJobTrial) return;
+  if (job.placed >= constants::kFaultyJobTrialTasks) return;
   PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
-  placeUpTo(job, constants::kWrongJobTrial - job.placed, ShareUse::withinShare, progress);
+  placeUpTo(job, constants::kFaultyJobTrialTasks - job.placed, ShareUse::withinShare, progress);
 }
 
 void Round::placeUpTo(Job& job, std::uint32_t most, ShareUse use, PlacementProgress& progress) {
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -68,14 +68,15 @@
   // Only machines with contact in both directions in this term take work. Records, late copies of heartbeats
   // or contact in one direction are not enough.
   if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > input.now) return false;
-  const auto overdue = wire::seconds(input.settings.heartbeatIntervalS * constants::kSilentHeartbeats);
+  const auto overdue =
+      wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
   return input.now - machine.contact.lastHeartbeatAt <= overdue && !machine.spotNoticeAt;
 }
 
 // Whether a command would arrive at once, by all that is known.
 bool RoundState::isReachable(const Machine& machine) const {
-  const auto overdue =
-      wire::seconds(input.settings.heartbeatIntervalS * constants::kQuietHeartbeats + kReachableSlackS);
+  const auto overdue = wire::seconds(
+      input.settings.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + kReachableSlackS);
   return machine.contact.tokenAcknowledged && !machine.contact.unreachable &&
          input.now - machine.contact.lastHeartbeatAt <= overdue;
 }
--- a/src/service/catalog_loader.cpp
+++ b/src/service/catalog_loader.cpp
@@ -13,16 +13,16 @@
   requestInFlight_ = true;
   wire::Call call;
   call.to = wire::Service::cloud;
-  call.endpoint = context_.settings.cloudEndpoint;
+  call.endpoint = context_.settings.endpoints.cloud;
   call.method = "GET";
   call.path = "/catalog";
-  call.timeout = constants::kCloudTimeout;
+  call.timeout = constants::kCloudCallTimeout;
   context_.calls.start(std::move(call), [this](const wire::CallResult& result) { onCloudResponse(result); });
 }
 
 void CatalogLoader::onCloudResponse(const wire::CallResult& result) {
   requestInFlight_ = false;
-  retryAt_ = context_.now + constants::kCatalogRetry;
+  retryAt_ = context_.now + constants::kCatalogRetryInterval;
   auto catalog = wire::decodeCatalog(result.body);
   if (!result.ok() || !catalog) return loadCopy();
   context_.catalog = std::move(*catalog);
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -15,8 +15,9 @@
 // store's request rate on them, and all controllers together are bounded as well.
 wire::Duration confirmGap(const config::Settings& settings) {
   const auto controllers = static_cast<double>(settings.siblings.size() + 1);
-  const double share = std::min(constants::kPollShare, constants::kPollsShare / controllers);
-  return wire::seconds(1.0 / (settings.stateRps * share));
+  const double share =
+      std::min(constants::kMaxPollBudgetShare, constants::kTotalPollBudgetShare / controllers);
+  return wire::seconds(1.0 / (settings.state.requestsPerS * share));
 }
 
 wire::Result<wire::WorkerHeartbeat> decodeHeartbeatBody(const std::string& body) {
@@ -41,7 +42,7 @@
       catalogLoader_(context_),
       jobApi_(context_, jobFeed_, jobs_, leadership_,
               [this](auto change, const std::string& ref) { onJobChange(change, ref); }) {
-  if (settings.operators.shares.on) shares_ = std::make_unique<SharesFollower>(context_);
+  if (settings.operators.shares.enabled) shares_ = std::make_unique<SharesFollower>(context_);
 }
 
 // --- callbacks of the components ---------------------------------------------------------------------------
@@ -64,7 +65,8 @@
     context_.event(Level::info, "deposed", {{"why", why}});
   };
   const auto refused = [this](std::uint64_t layout) {
-    context_.event(Level::error, "layout_refused", {{"found", layout}, {"readable", constants::kLayout}});
+    context_.event(Level::error, "layout_refused",
+                   {{"found", layout}, {"readable", constants::kRecordLayout}});
   };
   return {elected, deposed, refused};
 }
@@ -90,7 +92,7 @@
   context_.now = now;
   context_.wallMs = wallMs;
   const Time before = std::exchange(lastEventAt_, now);
-  if (before != Time{} && now - before > constants::kStandstill) resumed(now - before);
+  if (before != Time{} && now - before > constants::kStallThreshold) resumed(now - before);
 }
 
 void Controller::resumed(wire::Duration suspendedFor) {
@@ -115,7 +117,7 @@
   leadership_.tick(now);
   // The leader may answer workers only while both this read and its lease are recent.
   if (leader_ && now >= nextConfirm_) {
-    nextConfirm_ = now + constants::kConfirmEvery;
+    nextConfirm_ = now + constants::kLeadershipConfirmInterval;
     jobFeed_.confirm(now, [](bool) {});
   }
   jobFeed_.tick(now);
@@ -244,8 +246,8 @@
 }
 
 void Controller::sendHeartbeat() {
-  nextHeartbeat_ = context_.now + constants::kHeartbeatEvery;
-  const bool storeConfirmed = context_.now - jobFeed_.confirmedAt() < constants::kHeartbeatFresh;
+  nextHeartbeat_ = context_.now + constants::kPeerHeartbeatInterval;
+  const bool storeConfirmed = context_.now - jobFeed_.confirmedAt() < constants::kPeerHeartbeatTimeout;
   context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.leading(), storeConfirmed});
   if (leader_) progressPublisher_.publish(*leader_);
 }
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -51,7 +51,7 @@
   void onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result);
   // A sibling's message has come.
   void onPeer(Time now, std::int64_t wallMs, const peer::Message& message);
-  // To be called every constants::kTick.
+  // To be called every constants::kTickInterval.
   void tick(Time now, std::int64_t wallMs);
   // Takes what is to be done; to be called after each event.
   Actions drain();
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -29,12 +29,12 @@
   // The worker got commands under this term, or was redirected a moment ago, so it knows the leader and came
   // here all the same.
   return heartbeat.token >= cluster::fencingToken(leadership_.term(), 0) ||
-         context_.now - route.redirectedAt < constants::kRelayMemory;
+         context_.now - route.redirectedAt < constants::kRedirectMemory;
 }
 
 bool HeartbeatRelay::mustRetryDirectPath(const WorkerRoute& route) const {
   // The network between worker and leader may have healed since.
-  return route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kRelayFor;
+  return route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kMaxRelayDuration;
 }
 
 void HeartbeatRelay::relay(std::uint64_t request, WorkerRoute& route, const std::string& body) {
@@ -65,7 +65,7 @@
 
 void HeartbeatRelay::tick() {
   std::erase_if(routes_, [this](const auto& entry) {
-    return context_.now - entry.second.lastSeen > 2 * constants::kRelayFor;
+    return context_.now - entry.second.lastSeen > 2 * constants::kMaxRelayDuration;
   });
   expirePending();
 }
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -57,7 +57,7 @@
   jobs::Job job;
   job.spec = spec;
   const auto bytes = static_cast<double>(jobs::encodeOpen(job).dump().size());
-  return bytes <= settings.stateValueKb * kBytesPerKb * constants::kValueFill;
+  return bytes <= settings.state.valueKb * kBytesPerKb * constants::kMaxValueFill;
 }
 
 }  // namespace
--- a/src/service/job_progress.cpp
+++ b/src/service/job_progress.cpp
@@ -17,8 +17,8 @@
 void ProgressPublisher::send(const peer::Progress& progress) {
   // In several messages, because a frame that is too large would be dropped whole, each time again.
   const auto jobs = progress.jobs.begin();
-  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kProgressJobs) {
-    const std::size_t to = std::min(progress.jobs.size(), from + constants::kProgressJobs);
+  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kMaxJobsPerProgressMessage) {
+    const std::size_t to = std::min(progress.jobs.size(), from + constants::kMaxJobsPerProgressMessage);
     const auto first = jobs + static_cast<std::ptrdiff_t>(from);
     const auto last = jobs + static_cast<std::ptrdiff_t>(to);
     context_.broadcast(peer::Progress{progress.term, {first, last}});
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -39,7 +39,7 @@
          std::uint64_t term, std::vector<std::uint64_t> partitionRevisions);
   Leader(const Leader&) = delete;
 
-  // To be called every constants::kTick.
+  // To be called every constants::kTickInterval.
   void tick();
   // To be called after each answer from outside: goes on with transactions, rounds and commands at once.
   void advance();
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "fleet/scaling.hpp"
+
 namespace reachhoist::service {
 
 Autoscaler::Autoscaler(LeaderState& state, MachineLifecycle& lifecycle, InstanceInventory& inventory,
@@ -26,17 +28,17 @@
   if (!state_.heardFromWorkers() && !state_.machines.all().empty()) return;
   if (sizing_.due(context_.now)) sizingRound();
   if (context_.now < nextScaleOut_) return;
-  nextScaleOut_ = context_.now + constants::kScaleOutEvery;
-  fleet::FleetWorld world = fleetWorld();
-  scaleOutForDemand(world);
-  for (Machine* machine : fleet::idleScaleIn(world)) lifecycle_.drain(*machine, "idle");
-  consolidate(world);
+  nextScaleOut_ = context_.now + constants::kScaleOutInterval;
+  fleet::FleetSnapshot snapshot = fleetSnapshot();
+  scaleOutForDemand(snapshot);
+  for (Machine* machine : fleet::idleScaleIn(snapshot)) lifecycle_.drain(*machine, "idle");
+  consolidate(snapshot);
 }
 
 void Autoscaler::sizingRound() {
-  const fleet::FleetWorld world = fleetWorld();
-  fleet::Headroom headroom(world);
-  for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(world))) {
+  const fleet::FleetSnapshot snapshot = fleetSnapshot();
+  fleet::Headroom headroom(snapshot);
+  for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(snapshot))) {
     context_.event(
         Level::info, "step",
         {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
@@ -59,21 +61,22 @@
   }
 }
 
-void Autoscaler::scaleOutForDemand(fleet::FleetWorld& world) {
-  for (const fleet::ScaleOutRequest& request : fleet::scaleOutForUnmetWork(world)) {
+void Autoscaler::scaleOutForDemand(fleet::FleetSnapshot& snapshot) {
+  for (const fleet::ScaleOutRequest& request : fleet::scaleOutForUnplacedDemand(snapshot)) {
     requestInstances(request.pool, request.count, "shortfall");
     for (const jobs::Job* gang : request.gangs) waitingGangs_[request.pool].insert(gang->spec.ref.text);
-    world.pending[request.pool] += static_cast<std::size_t>(request.count);
+    snapshot.pendingRequests[request.pool] += static_cast<std::size_t>(request.count);
   }
-  for (const fleet::ScaleOutRequest& request : fleet::scaleOutForReserve(world))
+  for (const fleet::ScaleOutRequest& request : fleet::scaleOutForReserve(snapshot))
     requestInstances(request.pool, request.count, "reserve");
 }
 
-void Autoscaler::consolidate(const fleet::FleetWorld& world) {
-  if (context_.now < nextConsolidation_ || context_.now - state_.actingSince < constants::kConsolidateMinAge)
+void Autoscaler::consolidate(const fleet::FleetSnapshot& snapshot) {
+  if (context_.now < nextConsolidation_ ||
+      context_.now - state_.actingSince < constants::kConsolidationMinAge)
     return;
-  nextConsolidation_ = context_.now + constants::kConsolidateEvery;
-  for (Machine* machine : fleet::consolidationScaleIn(world))
+  nextConsolidation_ = context_.now + constants::kConsolidationInterval;
+  for (Machine* machine : fleet::consolidationScaleIn(snapshot))
     lifecycle_.drain(*machine, "vacated", DrainMode::graceful);
 }
 
@@ -90,7 +93,7 @@
     for (const std::string& ref : gangs)
       if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open())
         job->gang.scaleOutFellShort(context_.now);
-    refusedUntil_[pool] = context_.now + constants::kRefusedPause;
+    refusedUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
   context_.event(Level::info, "rented",
@@ -98,22 +101,23 @@
   state_.requestPlacementRound();
 }
 
-fleet::FleetWorld Autoscaler::fleetWorld() {
-  fleet::FleetWorld world{context_.settings,
-                          *context_.catalog,
-                          context_.now,
-                          context_.wallMs,
-                          state_.existingMachines(),
-                          scheduler_.unplaced(),
-                          {},
-                          pendingByPool(),
-                          partitions_.zones(),
-                          failover_.servicesAtRisk(),
-                          boots_.history()};
-  std::erase_if(world.unmet, [](const placement::UnplacedDemand& unmet) { return !unmet.job->open(); });
+fleet::FleetSnapshot Autoscaler::fleetSnapshot() {
+  fleet::FleetSnapshot snapshot{context_.settings,
+                                *context_.catalog,
+                                context_.now,
+                                context_.wallMs,
+                                state_.existingMachines(),
+                                scheduler_.unplaced(),
+                                {},
+                                pendingByPool(),
+                                partitions_.zones(),
+                                failover_.servicesAtRisk(),
+                                boots_.history()};
+  std::erase_if(snapshot.unplaced,
+                [](const placement::UnplacedDemand& demand) { return !demand.job->open(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const auto& [pool, until] : refusedUntil_) world.refused.insert(pool);
-  return world;
+  for (const auto& [pool, until] : refusedUntil_) snapshot.refusedPools.insert(pool);
+  return snapshot;
 }
 
 std::map<cloud::PoolKey, std::size_t> Autoscaler::pendingByPool() const {
--- a/src/service/leader/autoscaler.hpp
+++ b/src/service/leader/autoscaler.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "cloud/client.hpp"
+#include "fleet/headroom.hpp"
 #include "fleet/sizing.hpp"
 #include "service/leader/boot_monitor.hpp"
 #include "service/leader/instance_inventory.hpp"
@@ -42,10 +43,10 @@
   void sizingRound();
   // Drains up to `count` idle machines of the pool, within the headroom.
   void scaleIn(const cloud::PoolKey& pool, int count, fleet::Headroom& headroom);
-  void scaleOutForDemand(fleet::FleetWorld& world);
-  void consolidate(const fleet::FleetWorld& world);
+  void scaleOutForDemand(fleet::FleetSnapshot& snapshot);
+  void consolidate(const fleet::FleetSnapshot& snapshot);
   void requestInstances(const cloud::PoolKey& pool, int count, const char* why);
-  fleet::FleetWorld fleetWorld();
+  fleet::FleetSnapshot fleetSnapshot();
   // Instances requested, by pool, for which there is no answer yet.
   std::map<cloud::PoolKey, std::size_t> pendingByPool() const;
 
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -8,7 +8,7 @@
 
 void BootMonitor::tick() {
   if (context_.now < nextCheck_) return;
-  nextCheck_ = context_.now + constants::kScaleOutEvery;
+  nextCheck_ = context_.now + constants::kScaleOutInterval;
   detectTimeouts();
 }
 
@@ -23,7 +23,7 @@
 // would throw away machines that are about to come up.
 void BootMonitor::detectTimeouts() {
   // Heartbeats that were sent while nobody listened arrive first.
-  const auto settle = state_.heartbeatTimeout(constants::kGoneHeartbeats, 1);
+  const auto settle = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
   if (context_.now - state_.listeningSince() < settle) return;
   const fleet::BootCohorts cohorts(state_.existingMachines());
   for (auto& [host, machine] : state_.machines.all()) {
@@ -32,7 +32,7 @@
     const auto timeout =
         history_.bootTimeout(machine.machineType, machine.zone, nominalBootS(machine), context_.now);
     if (age <= timeout) continue;
-    if (age <= constants::kBootAllSlow * timeout && !cohorts.lagsCohort(machine)) continue;
+    if (age <= constants::kSlowCohortTimeoutFactor * timeout && !cohorts.lagsCohort(machine)) continue;
     history_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
     lifecycle_.decommission(machine, "never came up");
   }
--- a/src/service/leader/boot_monitor.hpp
+++ b/src/service/leader/boot_monitor.hpp
@@ -16,7 +16,7 @@
 
   // The machine has sent its first heartbeat.
   void recordBoot(const Machine& machine);
-  // Looks for boot time-outs every constants::kScaleOutEvery.
+  // Looks for boot time-outs every constants::kScaleOutInterval.
   void tick();
   const fleet::BootHistory& history() const { return history_; }
 
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -25,7 +25,7 @@
 }
 
 void CompletionRecords::taskCompleted(const wire::TaskId& task) {
-  jobs_.find(task.job.text)->dirtyChunks.insert(task.index / constants::kDoneChunk);
+  jobs_.find(task.job.text)->dirtyChunks.insert(task.index / constants::kTasksPerDoneChunk);
   markDirty(task.job.text);
 }
 
@@ -37,7 +37,7 @@
 bool CompletionRecords::isDurable(const wire::TaskId& task) const {
   const jobs::Job* job = jobs_.find(task.job.text);
   if (job == nullptr || !job->open()) return true;
-  const std::uint32_t chunk = task.index / constants::kDoneChunk;
+  const std::uint32_t chunk = task.index / constants::kTasksPerDoneChunk;
   return !job->dirtyChunks.contains(chunk) && !chunksInFlight_.contains({task.job.text, chunk}) &&
          !job->finished();
 }
@@ -63,7 +63,7 @@
   state::Transaction transaction;
   std::vector<std::string> refs;
   for (const std::string& ref : finishedJobs_) {
-    if (refs.size() >= context_.settings.stateTxnOps) break;
+    if (refs.size() >= context_.settings.state.opsPerTransaction) break;
     const jobs::Job* job = jobs_.find(ref);
     transaction.conditions.push_back({jobs::jobKey(ref), job->revision});
     transaction.writes.push_back(
@@ -103,7 +103,7 @@
   // Paced, so that less urgent writes get their turn: little is lost without it, since a completed task that
   // is started again ends at once.
   if (progressWriter_.busy() || dirtyJobs_.empty() || context_.now < nextProgressAt_) return;
-  nextProgressAt_ = context_.now + constants::kProgressGap;
+  nextProgressAt_ = context_.now + constants::kProgressWriteInterval;
   const std::vector<ChunkId> chunks = takeDirtyChunks();
   if (chunks.empty()) return;
   state::Transaction transaction;
@@ -117,7 +117,7 @@
 std::vector<CompletionRecords::ChunkId> CompletionRecords::takeDirtyChunks() {
   std::vector<ChunkId> chunks;
   // Longest dirty first, so that none starves when there is more than the transactions carry.
-  while (!dirtyQueue_.empty() && chunks.size() < context_.settings.stateTxnOps) {
+  while (!dirtyQueue_.empty() && chunks.size() < context_.settings.state.opsPerTransaction) {
     const std::string ref = dirtyQueue_.front();
     jobs::Job* job = jobs_.find(ref);
     if (!dirtyJobs_.contains(ref) || job == nullptr || !job->open() || job->finished() ||
@@ -168,7 +168,7 @@
   state::Transaction transaction;
   std::vector<std::string> keys;
   for (const std::string& key : obsoleteKeys_) {
-    if (keys.size() >= context_.settings.stateTxnOps) break;
+    if (keys.size() >= context_.settings.state.opsPerTransaction) break;
     transaction.writes.push_back({key, std::nullopt, std::nullopt});
     keys.push_back(key);
   }
--- a/src/service/leader/completion_records.hpp
+++ b/src/service/leader/completion_records.hpp
@@ -47,7 +47,7 @@
   void clean();
 
  private:
-  // A chunk of constants::kDoneChunk tasks of a job.
+  // A chunk of constants::kTasksPerDoneChunk tasks of a job.
   struct ChunkId {
     std::string ref;
     std::uint32_t chunk = 0;
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -11,18 +11,19 @@
 
 void FailureDetector::tick() {
   if (context_.now < nextCheck_ || !state_.confirmedSinceResume()) return;
-  nextCheck_ = context_.now + constants::kTick * kTicksPerCheck;
+  nextCheck_ = context_.now + constants::kTickInterval * kTicksPerCheck;
   prober_.probeUnheard();
   partitions_.observe(state_.machines, context_.now);
   const auto listeningFor = context_.now - state_.listeningSince();
-  const bool settled =
-      listeningFor > state_.heartbeatTimeout(constants::kSilentHeartbeats, 2) && state_.holdsLeaderLease();
+  const bool settled = listeningFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
+                       state_.holdsLeaderLease();
   if (partitions_.mostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.reviewFaultyJobs();
   for (auto& [host, machine] : state_.machines.all())
     if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, settled);
-  if (listeningFor > state_.heartbeatTimeout(constants::kGoneHeartbeats, 1) && state_.holdsLeaderLease())
+  if (listeningFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) &&
+      state_.holdsLeaderLease())
     failover_.moveServices();
 }
 
@@ -35,15 +36,17 @@
 }
 
 const char* FailureDetector::transferReason() const {
-  const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kHeartbeatFresh;
-  const bool siblingConfirmed = context_.now - context_.siblingConfirmedAt <= constants::kHeartbeatFresh;
-  if (partitions_.selfPartitionedFor(context_.now) > constants::kSelfCutPatience) return "hears no workers";
-  if (siblingConfirmed && partitions_.unreachedFor(context_.now) > constants::kSelfCutPatience)
+  const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kPeerHeartbeatTimeout;
+  const bool siblingConfirmed =
+      context_.now - context_.siblingConfirmedAt <= constants::kPeerHeartbeatTimeout;
+  if (partitions_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
+    return "hears no workers";
+  if (siblingConfirmed && partitions_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "hears workers through siblings only";
   // Machines that are all dead would not come to the next leader either; siblings that are silent as well
   // tell a network partition from that.
-  if (siblingsSilent && partitions_.unheardFor(context_.now) > constants::kUnheardPatience &&
-      context_.now - state_.listeningSince() > constants::kUnheardPatience)
+  if (siblingsSilent && partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
+      context_.now - state_.listeningSince() > constants::kNewLeaderContactTimeout)
     return "hears nobody";
   return nullptr;
 }
@@ -56,7 +59,7 @@
 }
 
 bool FailureDetector::checkLease(const std::string& host, Machine& machine) {
-  const bool expired = context_.now - machine.contact.leaseRenewedAt > context_.settings.leaseOver();
+  const bool expired = context_.now - machine.contact.leaseRenewedAt > context_.settings.leaseExpiry();
   const bool hasAttempts =
       std::any_of(machine.attempts.begin(), machine.attempts.end(),
                   [](const Attempt& attempt) { return attempt.phase != AttemptPhase::planned; });
@@ -70,19 +73,19 @@
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
   const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
   const bool maybePartitioned = partitions_.doubtful(machine.zone);
-  if (silentFor > state_.heartbeatTimeout(constants::kSilentHeartbeats, 2) &&
+  if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
       (leaseExpired || !maybePartitioned))
     lifecycle_.decommission(machine, "silent");
-  if (silentFor > state_.heartbeatTimeout(constants::kProbeHeartbeats, 1)) prober_.probeOverdue(machine);
+  if (silentFor > state_.heartbeatTimeout(constants::kProbeAfterHeartbeats, 1)) prober_.probeOverdue(machine);
   // Overdue and unreachable as well: no need to wait for a third heartbeat.
-  if (machine.contact.unreachable && silentFor > state_.heartbeatTimeout(constants::kGoneHeartbeats, 1) &&
-      !maybePartitioned)
+  if (machine.contact.unreachable &&
+      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) && !maybePartitioned)
     lifecycle_.decommission(machine, "unreachable");
   // It sends heartbeats, but nothing from here arrives: its lease has expired, and it can't run work.
   const bool unacknowledged = !machine.contact.tokenAcknowledged &&
                               machine.contact.unacknowledgedSince != Time{} &&
                               context_.now - machine.contact.unacknowledgedSince >
-                                  context_.settings.leaseOver() + constants::kUnacknowledgedPatience;
+                                  context_.settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
   if (unacknowledged && machine.phase == MachinePhase::up)
     lifecycle_.decommission(machine, "acknowledges nothing");
 }
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -91,9 +91,9 @@
   setState(job, GangState::clearing, why);
   ++job.gang.consecutiveFailures;
   const auto backoff =
-      constants::kGangRetry * (1 << std::min(job.gang.consecutiveFailures - 1, kMaxBackoffDoublings));
+      constants::kGangRetryBackoff * (1 << std::min(job.gang.consecutiveFailures - 1, kMaxBackoffDoublings));
   job.backoffUntil = std::max(job.backoffUntil, context_.now + std::min<std::chrono::milliseconds>(
-                                                                   backoff, constants::kGangRetryMost));
+                                                                   backoff, constants::kMaxGangRetryBackoff));
   state_.forEachAttempt(job.spec.ref.text, [this](Machine& machine, Attempt& other) {
     if (other.holdsCapacity()) commands_.stop(machine, other, 0);
   });
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -33,7 +33,7 @@
     // A placement whose transaction is in flight finds no machine to start on, as it should.
     for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine gone");
     state_.machines.remove(host);
-    releasedUntil_[host] = context_.now + constants::kReleasedHostMemory;
+    releasedUntil_[host] = context_.now + constants::kReleasedHostRetention;
   }
   state_.requestPlacementRound();
 }
@@ -78,9 +78,10 @@
     // Counted from the first list that said it runs: a machine that came up late has only just begun to send
     // heartbeats.
     if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
-    const double lagS = 2 * context_.settings.cloudListLagS;
+    const double lagS = 2 * context_.settings.cloud.listLagS;
     const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.listeningSince());
-    if (wire::toSeconds(unheardFor) > lagS + kListedSilentHeartbeats * context_.settings.heartbeatIntervalS)
+    if (wire::toSeconds(unheardFor) >
+        lagS + kListedSilentHeartbeats * context_.settings.workers.heartbeatIntervalS)
       lifecycle_.decommission(machine, "listed as running but silent");
   }
 }
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -10,7 +10,7 @@
 constexpr double kFirstHeartbeats = 1.5;
 
 std::size_t valueSizeLimitOf(const config::Settings& settings) {
-  return static_cast<std::size_t>(settings.stateValueKb * 1024 * constants::kBatchFill);
+  return static_cast<std::size_t>(settings.state.valueKb * 1024 * constants::kMaxBatchFill);
 }
 }  // namespace
 
@@ -24,7 +24,7 @@
       term(leaderTerm),
       electedAt(sharedContext.now),
       valueSizeLimit(valueSizeLimitOf(sharedContext.settings)),
-      batches(std::min<std::size_t>(constants::kBatchBytes, valueSizeLimit)),
+      batches(std::min<std::size_t>(constants::kTargetBatchBytes, valueSizeLimit)),
       partitionRevisions_(std::move(partitionRevisions)) {}
 
 void LeaderState::resign(const char* why) {
@@ -46,7 +46,7 @@
 }
 
 bool LeaderState::holdsLeaderLease() const {
-  return confirmedSinceResume() && context.now - confirmedAt() < constants::kLeaderTtl;
+  return confirmedSinceResume() && context.now - confirmedAt() < constants::kLeaderLeaseTtl;
 }
 
 bool LeaderState::heardFromWorkers() const {
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -57,7 +57,7 @@
   bool heardFromWorkers() const;
   // The time that so many missed heartbeats take, plus a margin in seconds.
   wire::Duration heartbeatTimeout(double missedHeartbeats, double marginS) const {
-    return wire::seconds(context.settings.heartbeatIntervalS * missedHeartbeats + marginS);
+    return wire::seconds(context.settings.workers.heartbeatIntervalS * missedHeartbeats + marginS);
   }
   // Until then an earlier leader may have renewed the lease of a worker not heard from in this term.
   Time inheritedLeaseRenewal() const { return electedAt + context.settings.answerWindow(); }
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -38,7 +38,7 @@
   context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
   for (Attempt& attempt : machine.attempts) {
     if (mode == DrainMode::graceful && !attempt.isService) continue;
-    gangs_.stop(machine, attempt, checkpointGraceS(attempt), constants::kNoHurryS, why);
+    gangs_.stop(machine, attempt, checkpointGraceS(attempt), constants::kUnlimitedStopTimeS, why);
   }
 }
 
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -39,14 +39,14 @@
 // --- decisions ---------------------------------------------------------------------------------------------
 
 placement::SchedulingInput PlacementScheduler::worldForRound() {
-  const std::size_t ops = context_.settings.stateTxnOps;
+  const std::size_t ops = context_.settings.state.opsPerTransaction;
   placement::SchedulingInput world{context_.settings,
                                    context_.now,
                                    context_.wallMs,
                                    {},
                                    {},
                                    {},
-                                   4 * ops - constants::kBatchesPerRound - state_.partitionCount()};
+                                   4 * ops - constants::kMaxBatchesPerRound - state_.partitionCount()};
   for (const std::string& ref : state_.jobs.open()) {
     jobs::Job* job = state_.jobs.find(ref);
     world.openJobs.push_back(job);
@@ -68,8 +68,8 @@
   unplaced_ = std::move(plan.unplaced);
   // Waiting work is looked at again when something has changed, or when time alone may have changed it.
   const bool idle = plan.assignments.empty() && plan.preemptions.empty();
-  nextPlan_ = context_.now + (idle ? constants::kIdleRoundGap : constants::kRoundGap);
-  replanAt_ = context_.now + constants::kReplanEvery;
+  nextPlan_ = context_.now + (idle ? constants::kIdleRoundInterval : constants::kMinRoundInterval);
+  replanAt_ = context_.now + constants::kReplanInterval;
   preempt(plan.preemptions);
   return plan;
 }
@@ -79,7 +79,7 @@
     Attempt* attempt = stop.machine->find(stop.task, stop.attempt);
     if (attempt == nullptr) continue;
     context_.event(Level::info, "preempt", {{"task", stop.task.str()}, {"machine", stop.machine->host.text}});
-    gangs_.stop(*stop.machine, *attempt, stop.graceS, constants::kNoHurryS, "preempted");
+    gangs_.stop(*stop.machine, *attempt, stop.graceS, constants::kUnlimitedStopTimeS, "preempted");
   }
 }
 
@@ -112,7 +112,7 @@
                     [](const Attempt& other) { return other.phase == AttemptPhase::planned; });
     return true;
   }
-  attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kBatchesPerRound);
+  attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kMaxBatchesPerRound);
   if (!attempt.batch) return false;
   machine.transactionInFlight = true;
   round.hosts.insert(machine.host.text);
@@ -136,7 +136,7 @@
   Machine& machine = *assignment.machine;
   Attempt attempt;
   attempt.task = wire::TaskId{job.spec.ref, assignment.index};
-  attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kBatchesPerRound);
+  attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kMaxBatchesPerRound);
   const bool gangBegun = job.isGang() && job.gang.state == jobs::GangState::reserving;
   if (!attempt.batch && !gangBegun) return false;
   // The placements of a gang are decided at once, though they may need several transactions.
@@ -162,9 +162,9 @@
   if (state_.staleBatches.empty() || (round.batches.empty() && context_.now < nextCleanup_)) return;
   state_.batches.recountBytes(state_.machines);
   for (auto at = state_.staleBatches.begin();
-       at != state_.staleBatches.end() && round.batches.size() < constants::kBatchesPerRound;) {
+       at != state_.staleBatches.end() && round.batches.size() < constants::kMaxBatchesPerRound;) {
     if (!round.batches.contains(*at) &&
-        !state_.batches.shrinkBatch(state_.machines, *at, round.batches, constants::kBatchesPerRound)) {
+        !state_.batches.shrinkBatch(state_.machines, *at, round.batches, constants::kMaxBatchesPerRound)) {
       ++at;  // what has moved to other batches is written first
       continue;
     }
@@ -176,7 +176,7 @@
 // --- transaction -------------------------------------------------------------------------------------------
 
 void PlacementScheduler::commit(const Round& round) {
-  nextCleanup_ = context_.now + constants::kCleanEvery;
+  nextCleanup_ = context_.now + constants::kBatchCleanupInterval;
   state::Transaction transaction;
   HostsByBatch hostsByBatch;
   for (auto& [number, value] : state_.batches.encode(state_.machines, round.batches)) {
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -25,7 +25,7 @@
 
 void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
   // The search walks over all machines: what it could not find now is not searched for in every round.
-  if (plan.triedSharePreemption) nextPreemption_ = context_.now + constants::kReplanEvery;
+  if (plan.triedSharePreemption) nextPreemption_ = context_.now + constants::kReplanInterval;
   if (plan.sharePreemptions == 0) return;
   nextPreemption_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
   context_.event(Level::info, "reclaim", {{"stops", plan.sharePreemptions}, {"generation", generation_}});
@@ -55,7 +55,7 @@
 
 void RoundShares::tick() {
   if (!context_.shares || !state_.holdsLeaderLease() || context_.now < nextStatus_) return;
-  nextStatus_ = context_.now + constants::kShareStatusEvery;
+  nextStatus_ = context_.now + constants::kShareStatusInterval;
   Json current = status();
   if (current == writtenStatus_) return;
   state::Transaction transaction;
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -45,9 +45,9 @@
 void ServiceFailover::moveServices() {
   if (partitions_.zones().empty() || partitions_.selfPartitioned()) return;
   double capacity = capacityForServices();
-  const auto moveAfter = wire::seconds(context_.settings.leaseS * constants::kMoveAtLease);
+  const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   // A machine not heard from in this term may have been partitioned from the earlier leader for long.
-  const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kGoneHeartbeats, 1);
+  const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
     const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 void SizingStateStore::load() {
-  nextSave_ = context_.now + constants::kCopyEvery;
+  nextSave_ = context_.now + constants::kSizingStateSaveInterval;
   context_.state.get(context_.now, state::Urgency::complete, kSizingStateKey,
                      [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
                        if (!alive.lock() || !result.ok()) return;
@@ -21,7 +21,7 @@
 
 void SizingStateStore::tick() {
   if (context_.now < nextSave_) return;
-  nextSave_ = context_.now + constants::kCopyEvery;
+  nextSave_ = context_.now + constants::kSizingStateSaveInterval;
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
   transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
--- a/src/service/leader/sizing_state_store.hpp
+++ b/src/service/leader/sizing_state_store.hpp
@@ -8,7 +8,7 @@
 
 namespace reachhoist::service {
 
-// Loads the sizing state once and saves it every constants::kCopyEvery.
+// Loads the sizing state once and saves it every constants::kSizingStateSaveInterval.
 class SizingStateStore {
  public:
   SizingStateStore(LeaderState& state, fleet::Sizing& sizing)
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -20,7 +20,7 @@
   }
   ++machine.faults.consecutiveErrors;
   machine.faults.failedJobs.insert(ref);
-  if (machine.faults.consecutiveErrors >= constants::kSuspectErrors)
+  if (machine.faults.consecutiveErrors >= constants::kSuspectAfterErrors)
     machine.faults.suspectUntil = context_.now + constants::kSuspectPause;
 }
 
@@ -51,7 +51,7 @@
   if (job != nullptr && job->open() && job->completed > 0) return true;
   // Each task of a faulty job may run for a while before it fails.
   const auto longEnough =
-      constants::kGoodAfter + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
+      constants::kHealthyRunTime + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
   for (const auto& [host, machine] : state_.machines.all()) {
     if (excluded && &excluded->get() == &machine) continue;
     for (const Attempt& attempt : machine.attempts) {
@@ -65,7 +65,7 @@
 }
 
 void TaskFailurePolicy::quarantineIfFaulty(Machine& machine) {
-  if (machine.faults.consecutiveErrors < constants::kSuspectErrors || machine.faults.quarantined) return;
+  if (machine.faults.consecutiveErrors < constants::kSuspectAfterErrors || machine.faults.quarantined) return;
   bool allJobsFaulty = true;
   for (const std::string& ref : machine.faults.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -121,7 +121,7 @@
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& attempt) { return attempt.phase == AttemptPhase::ended; });
     // Otherwise the answer to the next heartbeat carries it: nothing waits for a forget command.
-    if (forgettable && machine.attempts.size() > constants::kEndedListedMost) markDue(machine);
+    if (forgettable && machine.attempts.size() > constants::kMaxEndedAttemptsListed) markDue(machine);
   }
 }
 
@@ -161,7 +161,7 @@
   call.path = "/commands";
   call.body = wire::encodeCommands(direct.token, direct.commands);
   call.body["shift"] = direct.incarnation;
-  call.timeout = constants::kWorkerTimeout;
+  call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(std::move(call), [this, direct = std::move(direct),
                                          alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
     if (!alive.lock()) return;
@@ -195,7 +195,7 @@
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
   // The commands are void once the worker has seen the higher token.
   if (result.sent && call.token == fencingTokenOf(machine)) requireNewToken(machine);
-  machine.directCommands.nextAt = context_.now + constants::kWorkerTimeout;
+  machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
   context_.event(Level::info, "no_answer", {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
 }
 
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -56,7 +56,7 @@
   void scheduleForgets();
 
   // The limit on calls in flight to workers, which probes share.
-  bool mayCall() const { return callsInFlight_ < context_.settings.workerCallsMost(); }
+  bool mayCall() const { return callsInFlight_ < context_.settings.maxWorkerCalls(); }
   void callBegins() { ++callsInFlight_; }
   void callEnds() { --callsInFlight_; }
 
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -19,9 +19,9 @@
 }
 
 void WorkerProber::probeUnheard() {
-  if (context_.now - state_.actingSince < constants::kProbeUnheardAfter || !state_.holdsLeaderLease()) return;
+  if (context_.now - state_.actingSince < constants::kProbeUnheardDelay || !state_.holdsLeaderLease()) return;
   unsigned left =
-      std::max(constants::kProbeUnheardLeast, context_.settings.workerCallsMost() / kUnheardCallsDivisor);
+      std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kUnheardCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
         machine.endpoint.empty())
@@ -34,9 +34,9 @@
 
 void WorkerProber::probeRelayed() {
   std::size_t probed = 0;
-  const auto overdue = state_.heartbeatTimeout(constants::kQuietHeartbeats, 0.5);
+  const auto overdue = state_.heartbeatTimeout(constants::kOverdueAfterHeartbeats, 0.5);
   for (auto& [host, machine] : state_.machines.all()) {
-    if (probed == constants::kDirectSamples || !commands_.mayCall()) return;
+    if (probed == constants::kDirectProbeSamples || !commands_.mayCall()) return;
     const bool relayed = context_.now - machine.contact.lastHeartbeatAt <= overdue &&
                          context_.now - machine.contact.lastDirectContactAt > overdue;
     if (machine.phase != MachinePhase::up || !relayed || machine.contact.probeInFlight ||
@@ -55,7 +55,7 @@
   call.endpoint = machine.endpoint;
   call.method = "GET";
   call.path = "/inspect";
-  call.timeout = constants::kWorkerTimeout;
+  call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(std::move(call), [this, host = machine.host.text,
                                          alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
     if (alive.lock()) onAnswer(host, result);
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -14,7 +14,7 @@
 // Fewer than a tenth.
 bool hardlyAny(int count, int total) { return count * 10 < total; }
 // Whether so many machines of a zone suggest that the zone is partitioned.
-bool suggestsPartition(int count, int up) { return count > 1 && count > up * constants::kCutShare; }
+bool suggestsPartition(int count, int up) { return count > 1 && count > up * constants::kZonePartitionShare; }
 }  // namespace
 
 void PartitionDetector::Count::add(const Count& other) {
@@ -25,7 +25,8 @@
 }
 
 PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
-  const auto overdue = wire::seconds(settings_.heartbeatIntervalS * constants::kQuietHeartbeats + 0.5);
+  const auto overdue =
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
   Count out;
   out.up = 1;
   out.quiet = now - machine.contact.lastHeartbeatAt > overdue ? 1 : 0;
@@ -66,7 +67,8 @@
 void PartitionDetector::observeZones(const std::map<std::string, Count>& zones, Time now) {
   // A network partition makes all machines of a zone quiet within a heartbeat interval. The zone counts as
   // partitioned for a while after that, since relay brings its machines back one by one.
-  const auto rememberFor = wire::seconds(settings_.heartbeatIntervalS * constants::kGoneHeartbeats);
+  const auto rememberFor =
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
   doubtful_.clear();
   for (const auto& [zone, count] : zones) {
     if (suggestsPartition(count.quiet, count.up)) partitionedUntil_[zone] = now + rememberFor;
@@ -80,7 +82,7 @@
 void PartitionDetector::observeFleet(const Count& all, Time now) {
   selfPartitioned_ = nearlyAll(all.quiet, all.up);
   // Machines never heard from in this term may as well be dead, and then the next leader would do no better.
-  const bool enough = all.up >= constants::kSelfCutLeast;
+  const bool enough = all.up >= constants::kLeaderIsolationMinMachines;
   const bool mostHeard = most(all.heard, all.up);
   trackSince(selfPartitionedSince_, selfPartitioned_ && enough && mostHeard, now);
   mostlyIndirect_ = nearlyAll(all.indirect, all.up) && all.quiet < all.indirect && enough && mostHeard;
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -22,10 +22,10 @@
       server_(
           reactor_, settings.serverSockets(),
           [this](std::uint64_t number, net::HttpMessage request) { onRequest(number, std::move(request)); }),
-      client_(reactor_, settings.ownCallSockets()),
+      client_(reactor_, settings.clientSockets()),
       peerListener_(reactor_, [this](const std::string& frame) { onFrame(frame); }) {}
 
-config::Problem Runtime::run() {
+config::FieldError Runtime::run() {
   if (auto problem = listen()) return *problem;
   if (auto problem = connectSiblings()) return *problem;
   controller_.start(reactor_.now(), wallMs());
@@ -34,23 +34,23 @@
   reactor_.run();
 }
 
-std::optional<config::Problem> Runtime::listen() {
+std::optional<config::FieldError> Runtime::listen() {
   net::Address bind;
   net::Address peerListen;
   std::string error;
-  if (!net::Address::parse(settings_.bind, bind)) return config::Problem{"bind", "not an address"};
+  if (!net::Address::parse(settings_.bind, bind)) return config::FieldError{"bind", "not an address"};
   if (!net::Address::parse(settings_.peerListen, peerListen))
-    return config::Problem{"peer_listen", "not an address"};
-  if (!server_.listen(bind, error)) return config::Problem{"bind", error};
-  if (!peerListener_.listen(peerListen, error)) return config::Problem{"peer_listen", error};
+    return config::FieldError{"peer_listen", "not an address"};
+  if (!server_.listen(bind, error)) return config::FieldError{"bind", error};
+  if (!peerListener_.listen(peerListen, error)) return config::FieldError{"peer_listen", error};
   return std::nullopt;
 }
 
-std::optional<config::Problem> Runtime::connectSiblings() {
+std::optional<config::FieldError> Runtime::connectSiblings() {
   for (const config::Sibling& sibling : settings_.siblings) {
     net::Address address;
     if (!net::Address::parse(sibling.endpoint, address))
-      return config::Problem{"siblings.endpoint", "not an address"};
+      return config::FieldError{"siblings.endpoint", "not an address"};
     siblingLinks_[sibling.label] = std::make_unique<net::FrameSender>(reactor_, address);
   }
   return std::nullopt;
@@ -58,7 +58,7 @@
 
 net::Task<void> Runtime::tickLoop() {
   for (;;) {
-    co_await reactor_.sleepUntil(reactor_.now() + constants::kTick);
+    co_await reactor_.sleepUntil(reactor_.now() + constants::kTickInterval);
     controller_.tick(reactor_.now(), wallMs());
     performActions();
   }
--- a/src/service/runtime.hpp
+++ b/src/service/runtime.hpp
@@ -21,11 +21,11 @@
   Runtime(const Runtime&) = delete;
 
   // Listens and serves. Returns only when it can't start, with the setting that is at fault.
-  config::Problem run();
+  config::FieldError run();
 
  private:
-  std::optional<config::Problem> listen();
-  std::optional<config::Problem> connectSiblings();
+  std::optional<config::FieldError> listen();
+  std::optional<config::FieldError> connectSiblings();
   net::Task<void> tickLoop();
   net::Task<void> executeCall(wire::Call call);
   void onRequest(std::uint64_t number, net::HttpMessage request);
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -18,7 +18,7 @@
   if (leads) writeConfigured();
 }
 
-void SharesFollower::refuse(const config::Problem& problem) {
+void SharesFollower::refuse(const config::FieldError& problem) {
   context_.event(Level::error, "shares_refused",
                  {{"field", problem.field},
                   {"why", problem.reason},
@@ -43,7 +43,7 @@
   storedGeneration_ = table.generation;
   problem = shares::check(table, context_.settings);
   if (!problem && context_.shares && table.generation < context_.shares->generation)
-    problem = config::Problem{"generation", "is lower than that of the table in force"};
+    problem = config::FieldError{"generation", "is lower than that of the table in force"};
   if (problem) return refuse(*problem);
   if (context_.shares && table.generation == context_.shares->generation) return;
   context_.event(Level::info, "shares", {{"generation", table.generation}, {"groups", table.shares.size()}});
@@ -54,7 +54,7 @@
   if (!storedGeneration_ || *storedGeneration_ >= configured_.generation || writing_ ||
       context_.now < retryAt_)
     return;
-  retryAt_ = context_.now + constants::kShareWriteRetry;
+  retryAt_ = context_.now + constants::kShareWriteRetryInterval;
   writing_ = true;
   state::Transaction transaction;
   transaction.conditions.push_back({shares::kTableKey, revision_});
--- a/src/service/shares.hpp
+++ b/src/service/shares.hpp
@@ -18,13 +18,13 @@
   explicit SharesFollower(Context& context);
   // Begins to watch the stored record; call once.
   void start() { watch_.start(context_.now); }
-  // To be called every constants::kTick. A leader writes the table of the operators' file if none or an older
-  // one is stored.
+  // To be called every constants::kTickInterval. A leader writes the table of the operators' file if none or
+  // an older one is stored.
   void tick(bool leads);
 
  private:
   void onRecord(const Json* value, std::uint64_t revision);
-  void refuse(const config::Problem& problem);
+  void refuse(const config::FieldError& problem);
   void writeConfigured();
 
   Context& context_;
--- a/src/service/sibling_monitor.cpp
+++ b/src/service/sibling_monitor.cpp
@@ -23,15 +23,16 @@
 
 bool SiblingMonitor::reachable(const std::string& label) const {
   const auto last = lastHeartbeats_.find(label);
-  return last != lastHeartbeats_.end() && context_.now - last->second.at < constants::kHeartbeatFresh;
+  return last != lastHeartbeats_.end() && context_.now - last->second.at < constants::kPeerHeartbeatTimeout;
 }
 
 bool SiblingMonitor::isIsolated(Time storeConfirmedAt) const {
-  if (context_.settings.siblings.empty() || context_.now - storeConfirmedAt < constants::kIsolatedAfter)
+  if (context_.settings.siblings.empty() ||
+      context_.now - storeConfirmedAt < constants::kStateIsolationTimeout)
     return false;
   bool noneReachable = true;
   for (const auto& [label, last] : lastHeartbeats_) {
-    if (context_.now - last.at > constants::kHeartbeatFresh) continue;
+    if (context_.now - last.at > constants::kPeerHeartbeatTimeout) continue;
     if (last.confirmed) return true;
     noneReachable = false;
   }
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -78,7 +78,8 @@
 }
 
 bool SubmissionQueue::hasSpace(const Batch& batch) const {
-  return batch.transaction.writes.size() < context_.settings.stateTxnOps && batch.bytes < kMaxBatchBytes;
+  return batch.transaction.writes.size() < context_.settings.state.opsPerTransaction &&
+         batch.bytes < kMaxBatchBytes;
 }
 
 bool SubmissionQueue::mustRaiseLayout(const Submission& submission, const Batch& batch) const {
@@ -88,7 +89,8 @@
 bool SubmissionQueue::addLayoutRaise(Batch& batch) const {
   constexpr std::size_t kWritesWithGang = 2;  // the layout and the gang itself
   const auto layout = leadership_.raiseLayout();
-  if (!layout || batch.transaction.writes.size() + kWritesWithGang > context_.settings.stateTxnOps)
+  if (!layout ||
+      batch.transaction.writes.size() + kWritesWithGang > context_.settings.state.opsPerTransaction)
     return false;
   batch.transaction.conditions.push_back(layout->condition);
   batch.transaction.writes.push_back(layout->write);
@@ -137,7 +139,7 @@
   // Some jobs were accepted before, perhaps by another controller; the others are sent again without them.
   const Json* failedKeys = wire::field(result.body, "failed");
   // The term's record has changed: the feed brings its new revision within moments.
-  if (conditionFailed(failedKeys, cluster::kTermKey)) resumeAt_ = context_.now + constants::kTick;
+  if (conditionFailed(failedKeys, cluster::kTermKey)) resumeAt_ = context_.now + constants::kTickInterval;
   for (const JobRecord& job : batch) {
     const bool exists =
         failedKeys != nullptr && failedKeys->is_array() && conditionFailed(failedKeys, jobs::jobKey(job.ref));
@@ -150,7 +152,7 @@
 }
 
 void SubmissionQueue::onRateLimited(const std::vector<JobRecord>& batch) {
-  resumeAt_ = context_.now + 2 * constants::kTick;
+  resumeAt_ = context_.now + 2 * constants::kTickInterval;
   for (const JobRecord& job : batch) {
     if (submissions_[job.ref].deadline <= resumeAt_) {
       giveUp(job.ref);
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -9,7 +9,7 @@
 namespace reachhoist::shares {
 
 double reportIntervalS(const config::Settings& settings) {
-  return settings.heartbeatIntervalS * constants::kHeartbeatSpread;
+  return settings.workers.heartbeatIntervalS * constants::kHeartbeatJitterFactor;
 }
 
 double reclaimPauseS(const config::Settings& settings) { return reportIntervalS(settings); }
@@ -24,9 +24,9 @@
   const double reclaimS = (steps - 1) * reclaimPauseS(settings);
   // The last stop may miss its direct command and wait for a heartbeat; the end of the task is reported by
   // another heartbeat.
-  const double commandS = 2 * reportIntervalS(settings) + wire::toSeconds(constants::kWorkerTimeout);
+  const double commandS = 2 * reportIntervalS(settings) + wire::toSeconds(constants::kWorkerCallTimeout);
   const double placeS = move.placedPerS > 0 ? static_cast<double>(move.tasks) / move.placedPerS
-                                            : wire::toSeconds(constants::kStateTimeout);
+                                            : wire::toSeconds(constants::kStateCallTimeout);
   // The start of the next task is commanded in the same way.
   return reclaimS + commandS + move.graceS + placeS + commandS + move.fetchS;
 }
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -36,16 +36,17 @@
 }
 
 void Client::setShare(double share) {
-  requests_.set(settings_.stateRps * share, settings_.stateRps * share);
-  writes_.set(settings_.stateWriteRps * share, settings_.stateWriteRps * share);
+  requests_.set(settings_.state.requestsPerS * share, settings_.state.requestsPerS * share);
+  writes_.set(settings_.state.writesPerS * share, settings_.state.writesPerS * share);
 }
 
 void Client::setLeading(bool leading) {
   const auto others = static_cast<double>(settings_.siblings.size());
   setShare((others == 0 ? 1.0
-            : leading   ? constants::kLeaderShare
-                        : std::min(constants::kFollowerShare, (1 - constants::kLeaderShare) / others)) *
-           constants::kBudgetMargin);
+            : leading
+                ? constants::kLeaderBudgetShare
+                : std::min(constants::kFollowerBudgetShare, (1 - constants::kLeaderBudgetShare) / others)) *
+           constants::kRateLimitUtilization);
 }
 
 void Client::transact(Time now, Urgency urgency, const Transaction& transaction, Done done) {
@@ -75,7 +76,8 @@
                    std::chrono::milliseconds block, Done done) {
   std::string path = "/changes?under=" + prefix + "&after=" + std::to_string(after) +
                      "&blockMs=" + std::to_string(block.count());
-  const auto timeout = block.count() > 0 ? block + constants::kWatchSlack : constants::kStateTimeout;
+  const auto timeout =
+      block.count() > 0 ? block + constants::kWatchTimeoutSlack : constants::kStateCallTimeout;
   submit(now, urgency,
          {.method = "GET", .path = std::move(path), .timeout = timeout, .done = std::move(done)});
 }
@@ -119,7 +121,7 @@
   if (request.writes > 0) writes_.take(now, request.writes);
   wire::Call call;
   call.to = wire::Service::state;
-  call.endpoint = settings_.stateEndpoint;
+  call.endpoint = settings_.endpoints.state;
   call.method = std::move(request.method);
   call.path = std::move(request.path);
   call.body = std::move(request.body);
--- a/src/state/client.hpp
+++ b/src/state/client.hpp
@@ -78,7 +78,7 @@
     std::string path{};
     Json body{};
     double writes = 0;  // keys that the request writes
-    std::chrono::milliseconds timeout = constants::kStateTimeout;
+    std::chrono::milliseconds timeout = constants::kStateCallTimeout;
     Done done{};
   };
   void submit(Time now, Urgency urgency, QueuedRequest request);
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -27,7 +27,7 @@
     if (state_ == State::following && !watchInFlight_) watch();
   }
   // Also when nobody waits: a failing store is probed, and the view is kept fresh.
-  const auto stale = failing_ ? constants::kStateBackoff : constants::kFreshFor;
+  const auto stale = failing_ ? constants::kStateBackoff : constants::kMaxFeedStaleness;
   if (!waiting_.empty() || (state_ == State::following && now - lastConfirmAt_ > stale)) sendConfirm();
 }
 
@@ -83,7 +83,7 @@
 
 void Feed::watch() {
   watchInFlight_ = true;
-  client_.watch(now_, urgency_, prefix_, revision_, constants::kWatchBlock,
+  client_.watch(now_, urgency_, prefix_, revision_, constants::kWatchPollTimeout,
                 guard_.wrap([this](const wire::CallResult& result) {
                   watchInFlight_ = false;
                   onChanges(result);
--- a/src/state/key_watch.cpp
+++ b/src/state/key_watch.cpp
@@ -42,7 +42,7 @@
 
 void KeyWatch::watch() {
   callInFlight_ = true;
-  client_.watch(now_, Urgency::rest, key_, revision_, constants::kWatchBlock,
+  client_.watch(now_, Urgency::rest, key_, revision_, constants::kWatchPollTimeout,
                 guard_.wrap([this](const wire::CallResult& result) {
                   callInFlight_ = false;
                   onChanges(result);
