--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -38,7 +38,7 @@
 }
 
 std::optional<FieldError> loadSettings(const std::string& path, const std::string& operatorsPath,
-                                    Settings& settings) {
+                                       Settings& settings) {
   if (auto problem = reachhoist::config::loadPlatform(path, settings)) return problem;
   if (!operatorsPath.empty()) {
     if (auto problem = reachhoist::config::loadOperators(operatorsPath, settings)) return problem;
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -65,7 +65,7 @@
     context_.event(Level::info, "deposed", {{"why", why}});
   };
   const auto refused = [this](std::uint64_t layout) {
-    context_.event(Level::error, "layout_refused",
+    context_.event(Level::error, "layout_unsupported",
                    {{"found", layout}, {"readable", constants::kRecordLayout}});
   };
   return {elected, deposed, refused};
@@ -193,7 +193,7 @@
 void Controller::onWorkerHeartbeat(std::uint64_t request, const std::string& body) {
   const auto heartbeat = decodeHeartbeatBody(body);
   if (!heartbeat) {
-    context_.event(Level::info, "bad_report", {{"why", heartbeat.reason()}});
+    context_.event(Level::info, "bad_heartbeat", {{"why", heartbeat.reason()}});
     return context_.replyError(request, http::kBadRequest, heartbeat.reason());
   }
   if (!leadership_.leading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
@@ -242,7 +242,7 @@
   // This controller may be the last to learn of its successor. As long as it answered workers 200, they would
   // not look for the new leader.
   if (newLeader && leadership_.leading() && heartbeat.term > leadership_.term())
-    leadership_.resign("a sibling leads");
+    leadership_.resign("a sibling leads under a later term");
 }
 
 void Controller::sendHeartbeat() {
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -73,7 +73,7 @@
   autoscaler_.start();
   const auto loadTime =
       std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - state_.electedAt);
-  context_.event(Level::info, "acting",
+  context_.event(Level::info, "leader_ready",
                  {{"term", state_.term},
                   {"machines", state_.machines.all().size()},
                   {"open_jobs", state_.jobs.open().size()},
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -24,7 +24,7 @@
     case wire::TaskState::unfamiliar:
       // A state of a later protocol version: whatever it means, the task is on the machine.
       if (!std::exchange(unfamiliarStateLogged_, true))
-        context_.event(Level::info, "unfamiliar_state",
+        context_.event(Level::info, "unknown_state",
                        {{"task", attempt.task.str()}, {"machine", machine.host.text}});
       if (attempt.phase == AttemptPhase::recorded) setPhase(attempt, AttemptPhase::pulling);
       return;
@@ -97,7 +97,7 @@
   if (wasEnded) return;  // its task was handled when the attempt ended
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || !job->open() || attempt.task.index >= job->tasks.size()) return;
-  context_.event(Level::info, "released",
+  context_.event(Level::info, "attempt_freed",
                  {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
   unassign(*job, attempt.task);
   gangs_.onTaskLost(*job, attempt, why);
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -56,14 +56,14 @@
     if (fleet::poolOf(machine) != pool) continue;
     if (!headroom.allowsRelease(machine)) return;
     headroom.release(machine);
-    lifecycle_.drain(machine, "step down");
+    lifecycle_.drain(machine, "scale in");
     --left;
   }
 }
 
 void Autoscaler::scaleOutForDemand(fleet::FleetSnapshot& snapshot) {
   for (const fleet::ScaleOutRequest& request : fleet::scaleOutForUnplacedDemand(snapshot)) {
-    requestInstances(request.pool, request.count, "shortfall");
+    requestInstances(request.pool, request.count, "unplaced demand");
     for (const jobs::Job* gang : request.gangs) waitingGangs_[request.pool].insert(gang->spec.ref.text);
     snapshot.pendingRequests[request.pool] += static_cast<std::size_t>(request.count);
   }
@@ -77,11 +77,11 @@
     return;
   nextConsolidation_ = context_.now + constants::kConsolidationInterval;
   for (Machine* machine : fleet::consolidationScaleIn(snapshot))
-    lifecycle_.drain(*machine, "vacated", DrainMode::graceful);
+    lifecycle_.drain(*machine, "consolidation", DrainMode::graceful);
 }
 
 void Autoscaler::requestInstances(const cloud::PoolKey& pool, int count, const char* why) {
-  context_.event(Level::info, "rent", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
+  context_.event(Level::info, "scale_out", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
   cloud_.requestInstances(context_.now, pool, static_cast<std::size_t>(count));
 }
 
@@ -96,7 +96,7 @@
     refusedUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
-  context_.event(Level::info, "rented",
+  context_.event(Level::info, "instances_provisioned",
                  {{"pool", pool.str()}, {"machines", hosts.size()}, {"refused", refused}});
   state_.requestPlacementRound();
 }
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -34,7 +34,7 @@
     if (age <= timeout) continue;
     if (age <= constants::kSlowCohortTimeoutFactor * timeout && !cohorts.lagsCohort(machine)) continue;
     history_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
-    lifecycle_.decommission(machine, "never came up");
+    lifecycle_.decommission(machine, "boot timeout");
   }
 }
 
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -40,14 +40,14 @@
   const bool siblingConfirmed =
       context_.now - context_.siblingConfirmedAt <= constants::kPeerHeartbeatTimeout;
   if (partitions_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
-    return "hears no workers";
+    return "no worker heartbeats";
   if (siblingConfirmed && partitions_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout)
-    return "hears workers through siblings only";
+    return "only relayed heartbeats";
   // Machines that are all dead would not come to the next leader either; siblings that are silent as well
   // tell a network partition from that.
   if (siblingsSilent && partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
       context_.now - state_.listeningSince() > constants::kNewLeaderContactTimeout)
-    return "hears nobody";
+    return "no heartbeats at all";
   return nullptr;
 }
 
@@ -64,8 +64,8 @@
       std::any_of(machine.attempts.begin(), machine.attempts.end(),
                   [](const Attempt& attempt) { return attempt.phase != AttemptPhase::planned; });
   if (expired && machine.phase != MachinePhase::booting && hasAttempts) {
-    context_.event(Level::info, "lease_over", {{"machine", host}});
-    attempts_.releaseAll(machine, "lease over");
+    context_.event(Level::info, "lease_expired", {{"machine", host}});
+    attempts_.releaseAll(machine, "lease expired");
   }
   return expired;
 }
@@ -75,7 +75,7 @@
   const bool maybePartitioned = partitions_.doubtful(machine.zone);
   if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
       (leaseExpired || !maybePartitioned))
-    lifecycle_.decommission(machine, "silent");
+    lifecycle_.decommission(machine, "missed heartbeats");
   if (silentFor > state_.heartbeatTimeout(constants::kProbeAfterHeartbeats, 1)) prober_.probeOverdue(machine);
   // Overdue and unreachable as well: no need to wait for a third heartbeat.
   if (machine.contact.unreachable &&
@@ -87,7 +87,7 @@
                               context_.now - machine.contact.unacknowledgedSince >
                                   context_.settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
   if (unacknowledged && machine.phase == MachinePhase::up)
-    lifecycle_.decommission(machine, "acknowledges nothing");
+    lifecycle_.decommission(machine, "token not acknowledged");
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -51,7 +51,7 @@
 void GangCoordinator::beginAttempt(jobs::Job& job, std::uint64_t number) {
   job.gang.attemptNumber = number;
   job.gang.partialScaleOuts = 0;
-  setState(job, GangState::reserving, "room for all");
+  setState(job, GangState::reserving, "capacity for all");
 }
 
 bool GangCoordinator::mayStart(const Attempt& attempt) {
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -92,7 +92,7 @@
 
 void HeartbeatProcessor::onNewIncarnation(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   if (machine.incarnation != 0 && !machine.attempts.empty())
-    context_.event(Level::info, "lease_lost",
+    context_.event(Level::info, "incarnation_changed",
                    {{"machine", machine.host.text}, {"attempts", machine.attempts.size()}});
   // The worker has killed and forgotten all tasks of its earlier incarnations. An attempt that an earlier
   // leader placed and that has not been reported in this term may belong to the new incarnation, since the
@@ -100,7 +100,7 @@
   for (Attempt& attempt : machine.attempts) {
     const bool unreported = attempt.inherited && attempt.incarnation == 0;
     if (machine.incarnation != 0 && attempt.phase != AttemptPhase::planned && !unreported)
-      attempts_.release(machine, attempt, "lease lost");
+      attempts_.release(machine, attempt, "new incarnation");
   }
   AttemptTracker::eraseFreed(machine);
   machine.incarnation = heartbeat.incarnation;
@@ -142,7 +142,8 @@
     stray.team = job->spec.team;
   }
   machine.attempts.push_back(std::move(stray));
-  context_.event(Level::info, "stray_attempt", {{"machine", machine.host.text}, {"task", status.task.str()}});
+  context_.event(Level::info, "unknown_attempt",
+                 {{"machine", machine.host.text}, {"task", status.task.str()}});
   return machine.attempts.back();
 }
 
@@ -169,7 +170,7 @@
   const bool notTaken = attempt.startSentInSequence != 0 && sequence > attempt.startSentInSequence;
   if (notTaken && !seen) commands_.advanceFencingToken(machine);
   if (seen || attempt.inherited || attempt.stopRequested || notTaken)
-    attempts_.release(machine, attempt, seen ? "reaped" : notTaken ? "not taken" : "absent");
+    attempts_.release(machine, attempt, seen ? "forgotten" : notTaken ? "command not applied" : "absent");
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -26,12 +26,13 @@
   for (const std::string& host : hosts) {
     Machine* machine = state_.machines.find(host);
     if (machine == nullptr) continue;
-    attempts_.releaseAll(*machine, "machine gone");
+    attempts_.releaseAll(*machine, "machine terminated");
     machine->setPhase(MachinePhase::terminated, context_.now);
     for (const std::uint32_t batch : state_.batches.batchesNaming(host)) state_.staleBatches.insert(batch);
-    context_.event(Level::info, "machine_gone", {{"machine", host}, {"why", machine->decommissionReason}});
+    context_.event(Level::info, "machine_terminated",
+                   {{"machine", host}, {"why", machine->decommissionReason}});
     // A placement whose transaction is in flight finds no machine to start on, as it should.
-    for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine gone");
+    for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine terminated");
     state_.machines.remove(host);
     releasedUntil_[host] = context_.now + constants::kReleasedHostRetention;
   }
@@ -82,7 +83,7 @@
     const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.listeningSince());
     if (wire::toSeconds(unheardFor) >
         lagS + kListedSilentHeartbeats * context_.settings.workers.heartbeatIntervalS)
-      lifecycle_.decommission(machine, "listed as running but silent");
+      lifecycle_.decommission(machine, "running without heartbeats");
   }
 }
 
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -69,7 +69,7 @@
     } else {
       // Another writer has changed a record that only a leader writes, or this leader's view is stale: a new
       // term reads everything again.
-      context.event(Level::error, "refused", {{"what", what}, {"key", key}});
+      context.event(Level::error, "transaction_refused", {{"what", what}, {"key", key}});
       return resign("a record was not as known");
     }
   }
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -46,7 +46,7 @@
   if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
   machine.decommissionReason = why;
   machine.setPhase(MachinePhase::decommissioning, context_.now);
-  context_.event(Level::info, "condemned", {{"machine", machine.host.text}, {"why", why}});
+  context_.event(Level::info, "decommissioning", {{"machine", machine.host.text}, {"why", why}});
 }
 
 void MachineLifecycle::evictForSpotNotice(Machine& machine) {
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -28,7 +28,8 @@
   if (plan.triedSharePreemption) nextPreemption_ = context_.now + constants::kReplanInterval;
   if (plan.sharePreemptions == 0) return;
   nextPreemption_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
-  context_.event(Level::info, "reclaim", {{"stops", plan.sharePreemptions}, {"generation", generation_}});
+  context_.event(Level::info, "share_preemption",
+                 {{"stops", plan.sharePreemptions}, {"generation", generation_}});
 }
 
 Json RoundShares::status() {
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -55,7 +55,7 @@
     const double cpus = serviceCpus(machine);
     if (cpus == 0 || cpus > capacity) continue;
     capacity -= cpus;
-    lifecycle_.decommission(machine, "cut off");
+    lifecycle_.decommission(machine, "network partition");
   }
 }
 
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -13,7 +13,7 @@
   if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // It failed on every machine: a few of its tasks are retried ever more rarely until its user cancels it.
     if (faultyJobs_.insert(ref).second) {
-      context_.event(Level::info, "job_at_fault", {{"job", ref}});
+      context_.event(Level::info, "job_faulty", {{"job", ref}});
       clearMachineSuspicion(ref);
     }
     return job->failures.attributeToJob(context_.now);
@@ -70,7 +70,7 @@
   for (const std::string& ref : machine.faults.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
       machine.faults.quarantined = true;
-      return lifecycle_.drain(machine, "sick");
+      return lifecycle_.drain(machine, "quarantined");
     }
     const jobs::Job* job = state_.jobs.find(ref);
     if (job != nullptr && job->open() && job->failures.failedMachineCount() < 2) allJobsFaulty = false;
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -196,7 +196,8 @@
   // The commands are void once the worker has seen the higher token.
   if (result.sent && call.token == fencingTokenOf(machine)) requireNewToken(machine);
   machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
-  context_.event(Level::info, "no_answer", {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
+  context_.event(Level::info, "command_unanswered",
+                 {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
 }
 
 }  // namespace reachhoist::service
--- a/src/shares/convergence.hpp
+++ b/src/shares/convergence.hpp
@@ -1,28 +1,29 @@
-// How long the machines take to follow a change of the table: a bound made of the platform's settings.
+// Upper bound on the time that placements take to follow a change of the fair-share table, from the settings.
 #pragma once
 
 #include "config/settings.hpp"
 
 namespace reachhoist::shares {
 
+// The shift of capacity that a change of the table causes.
 struct Move {
-  double share = 0;       // of the capacity that has to change hands
-  std::size_t tasks = 0;  // that have to be placed anew
-  double graceS = 0;      // longest time that a task which is stopped needs to save
-  double fetchS = 0;      // longest fetch of an image
-  double placedPerS = 0;  // tasks that the state service's budget lets place in a second
+  double share = 0;       // of the capacity that moves from one group to another
+  std::size_t tasks = 0;  // that have to be placed again
+  double graceS = 0;      // longest checkpoint of a preempted task
+  double fetchS = 0;      // longest pull of an image
+  double placedPerS = 0;  // placements per second that the key-value store's request budget allows
 };
 
-// The longest time between two reports of a worker.
+// The longest time between two heartbeats of a worker, in seconds.
 double reportIntervalS(const config::Settings& settings);
 
-// Time between two steps of reclaiming.
+// Pause between two steps of reclaiming capacity, in seconds.
 double reclaimPauseS(const config::Settings& settings);
 
-// Steps that reclaiming takes.
+// Number of steps that reclaiming takes.
 std::size_t reclaimSteps(const config::Settings& settings, const Move& move);
 
-// Upper bound in seconds, and the same in report intervals, which a busy machine stretches alike.
+// The bound in seconds, and the same in heartbeat intervals, which a busy machine stretches equally.
 double convergenceBoundS(const config::Settings& settings, const Move& move);
 double convergenceBoundReports(const config::Settings& settings, const Move& move);
 
--- a/src/shares/fair_share.hpp
+++ b/src/shares/fair_share.hpp
@@ -1,5 +1,5 @@
-// Weighted max-min fairness over the dominant resource, by progressive filling: what each group is entitled
-// to of the machines that are up. Pure arithmetic: no jobs, no machines.
+// Weighted max-min fairness over the dominant resource (dominant resource fairness), by progressive filling:
+// what each group is entitled to of the machines that are up. Pure arithmetic: no jobs, no machines.
 #pragma once
 
 #include <vector>
@@ -10,29 +10,30 @@
 
 using wire::Resources;
 
-// What one fair-share group has and asks for, in absolute resources.
+// What one fair-share group uses and demands, in absolute resources.
 struct GroupLoad {
-  double weight = 0;
-  Resources running;  // placed, and not on its way out
-  Resources demand;   // running and waiting
-  Resources fixed;    // of the demand, what ranks above shares and is served first
+  double weight = 0;  // relative to the other groups
+  Resources running;  // of its placed attempts, except those that are being stopped
+  Resources demand;   // of its running and waiting tasks
+  Resources fixed;    // of the demand, what is served before fair shares apply
 };
 
-// All three as dominant shares: the largest part that it takes of any one resource.
+// One group's shares. All three are dominant shares, from 0 to 1: the largest part of any one resource.
 struct GroupShare {
   double entitled = 0;
   double running = 0;
   double demand = 0;
 
-  // It is entitled to all that it asks for.
+  // Whether the group is entitled to all that it demands.
   bool granted() const;
 };
 
 // The largest part of any resource that the amount takes of the capacity.
 double dominantShare(const Resources& amount, const Resources& capacity);
 
-// Groups rise together, each by its weight, until their demand is met or a resource that they use is used up.
-// None is held below its fixed part. Groups of weight 0 share what the others leave.
+// The entitlement of each group, in the order of `groups`. Shares rise together, each by its weight, until
+// the group's demand is met or a resource that it uses is exhausted. No share is below the group's fixed
+// part. Groups of weight 0 divide what the others leave.
 std::vector<GroupShare> allocateFairShares(const Resources& capacity, const std::vector<GroupLoad>& groups);
 
 }  // namespace reachhoist::shares
--- a/src/shares/table.hpp
+++ b/src/shares/table.hpp
@@ -1,4 +1,4 @@
-// The table of shares: a versioned record in the state service, and the rules that a valid one keeps.
+// The fair-share table: a versioned record in the key-value store, and its validation.
 #pragma once
 
 #include <cstdint>
--- a/src/wire/job_names.hpp
+++ b/src/wire/job_names.hpp
@@ -9,7 +9,7 @@
 inline constexpr EnumName<JobKind> kJobKindNames[] = {
     {JobKind::array, "sweep"}, {JobKind::service, "daemon"}, {JobKind::gang, "ensemble"}};
 
-inline constexpr EnumName<Priority> kPriorityNames[] = {{Priority::best_effort, "best_effort"},
+inline constexpr EnumName<Priority> kPriorityNames[] = {{Priority::bestEffort, "best_effort"},
                                                         {Priority::standard, "standard"},
                                                         {Priority::high, "high"},
                                                         {Priority::prod, "prod"}};
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -40,7 +40,7 @@
 // time or none does; the wire calls it `ensemble`.
 enum class JobKind { array, service, gang };
 // Priority of a job, lowest first.
-enum class Priority { best_effort, standard, high, prod };
+enum class Priority { bestEffort, standard, high, prod };
 // State of a job as its user sees it.
 enum class JobStage { pending, running, done, cancelled };
 // Names on the wire.
