--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -57,8 +57,6 @@
   bool leading() const { return state_ == State::leading; }
   // The highest term known of; this controller's own while it leads.
   std::uint64_t term() const { return term_; }
-  // Number of partitions of the machines.
-  unsigned partitionCount() const { return partitionCount_; }
   // Label of the leader as the store last told it; empty if there is none.
   const std::string& leader() const { return leader_; }
   // Whether the stored layout is already the one with gangs.
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -381,4 +381,10 @@
 // Between tries to write the first table.
 inline constexpr milliseconds kShareWriteRetryInterval = 2s;
 
+// === Arithmetic on resources
+// Sums and quotients of fractional CPUs, GPUs and tasks are not exact: differences below this don't count.
+inline constexpr double kResourceRounding = 1e-6;
+// CPUs; the least divisor where the CPUs of a task or a machine may be zero or unknown.
+inline constexpr double kMinCpuDivisor = 0.01;
+
 }  // namespace reachhoist::constants
--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -7,8 +7,6 @@
 
 namespace {
 
-constexpr double kLeastCpus = 0.01;  // divisor for machines whose CPUs are not known
-
 // A task is retried on another machine than it failed on, unless the job itself is at fault.
 bool isAvoided(const Job& job, const Machine& machine) {
   return !job.failures.jobAtFault() && job.failures.failedOn(machine.host.text);
@@ -47,7 +45,7 @@
     seconds += shared ? pullS * constants::kSharedFetchCostShare : pullS;
   }
   if (job.spec.spot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
-  const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, kLeastCpus);
+  const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, constants::kMinCpuDivisor);
   seconds += (job.spec.priority >= wire::Priority::high ? constants::kEmptyMachineServicePenaltyS
                                                         : constants::kEmptyMachineArrayPenaltyS) *
              (1 - used);
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -46,7 +46,9 @@
       const double unfinished = job->spec.taskCount - job->completed;
       sum.cpus += job->spec.each.vcpus * unfinished;
       sum.gpus += job->spec.each.accelerators * unfinished;
-      if (sum.cpus > team.cpus + kQuotaRounding || sum.gpus > team.gpus + kQuotaRounding) break;
+      if (sum.cpus > team.cpus + constants::kResourceRounding ||
+          sum.gpus > team.gpus + constants::kResourceRounding)
+        break;
       guaranteed.insert(job->spec.ref.text);
     }
   }
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -10,22 +10,23 @@
 namespace {
 
 // How many times in a row the waiting tasks must run, given how many the team may run at once.
-double waves(const jobs::Job& job, const config::Settings& settings) {
+double sequentialRuns(const jobs::Job& job, const config::Settings& settings) {
   const config::Team* team = settings.team(job.spec.team);
   double atOnce = std::numeric_limits<double>::infinity();
   if (team != nullptr && team->cpusMax > 0 && job.spec.each.vcpus > 0)
-    atOnce = std::min(atOnce, std::floor(team->cpusMax / job.spec.each.vcpus + 1e-6));
+    atOnce = std::min(atOnce, std::floor(team->cpusMax / job.spec.each.vcpus + constants::kResourceRounding));
   if (team != nullptr && team->gpusMax > 0 && job.spec.each.accelerators > 0)
-    atOnce = std::min(atOnce, std::floor(team->gpusMax / job.spec.each.accelerators + 1e-6));
+    atOnce = std::min(atOnce,
+                      std::floor(team->gpusMax / job.spec.each.accelerators + constants::kResourceRounding));
   return std::max(1.0, std::ceil(job.waiting / std::max(1.0, atOnce)));
 }
 
 }  // namespace
 
 SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallMs) {
-  const double runs = waves(job, settings);
+  const double runs = sequentialRuns(job, settings);
   const double expectS = job.spec.expectS;
-  // Estimates are often wrong by half: an aim is given up only when it would be missed by that much.
+  // Estimates are often wrong by half: an SLO is given up only when it would be missed by that much.
   const double slackS = expectS * constants::kEstimateSlack;
   const double ageS = static_cast<double>(wallMs - job.acceptedMs) / 1000.0;
   double best = std::numeric_limits<double>::infinity();
--- a/src/placement/slo.hpp
+++ b/src/placement/slo.hpp
@@ -8,8 +8,8 @@
 
 // Where a job stands against its SLOs at a given wall-clock time.
 struct SloOutlook {
-  bool reachable = true;           // some aim can still be met
-  std::int64_t latestStartMs = 0;  // time of day by which waiting tasks must start for the next such aim
+  bool reachable = true;           // some SLO can still be met
+  std::int64_t latestStartMs = 0;  // time of day by which waiting tasks must start for the next such SLO
 };
 
 // The job's outlook at `wallMs` (milliseconds since the epoch). Estimates may be off by
--- a/src/placement/team_quotas.cpp
+++ b/src/placement/team_quotas.cpp
@@ -3,10 +3,6 @@
 
 namespace reachhoist::placement {
 
-namespace {
-constexpr double kLeastCpus = 0.01;  // divisor for tasks that ask for no CPUs
-}  // namespace
-
 void TeamQuotas::add(const std::string& team, const wire::Resources& task, double tasks) {
   TeamUsage& usage = usage_[team];
   usage.cpus += task.vcpus * tasks;
@@ -24,21 +20,24 @@
   if (team->cpusMax <= 0 && team->gpusMax <= 0) return true;
   const TeamUsage usage = usageOf(job.spec.team);
   const wire::Resources& task = job.spec.each;
-  if (team->cpusMax > 0 && usage.cpus + task.vcpus * tasks > team->cpusMax + kQuotaRounding) return false;
-  return !(team->gpusMax > 0 && usage.gpus + task.accelerators * tasks > team->gpusMax + kQuotaRounding);
+  if (team->cpusMax > 0 && usage.cpus + task.vcpus * tasks > team->cpusMax + constants::kResourceRounding)
+    return false;
+  return !(team->gpusMax > 0 &&
+           usage.gpus + task.accelerators * tasks > team->gpusMax + constants::kResourceRounding);
 }
 
 std::uint32_t TeamQuotas::tasksWithinLimit(const jobs::Job& job, std::uint32_t tasks) const {
   const config::Team* team = settings_.team(job.spec.team);
   if (team == nullptr || team->cpusMax <= 0) return tasks;
   const double freeCpus = team->cpusMax - usageOf(job.spec.team).cpus;
-  const double fitting = freeCpus / std::max(job.spec.each.vcpus, kLeastCpus) + kQuotaRounding;
+  const double fitting =
+      freeCpus / std::max(job.spec.each.vcpus, constants::kMinCpuDivisor) + constants::kResourceRounding;
   return std::min(tasks, static_cast<std::uint32_t>(std::max(0.0, fitting)));
 }
 
 bool TeamQuotas::exceedsGuarantee(const std::string& name) const {
   const config::Team* team = settings_.team(name);
-  return team != nullptr && team->cpus > 0 && usageOf(name).cpus > team->cpus + kQuotaRounding;
+  return team != nullptr && team->cpus > 0 && usageOf(name).cpus > team->cpus + constants::kResourceRounding;
 }
 
 bool TeamQuotas::anyExceedsGuarantee() const {
--- a/src/placement/team_quotas.hpp
+++ b/src/placement/team_quotas.hpp
@@ -11,8 +11,6 @@
 
 namespace reachhoist::placement {
 
-inline constexpr double kQuotaRounding = 1e-6;  // CPUs or GPUs; sums of fractions are not exact
-
 // CPUs and GPUs in use.
 struct TeamUsage {
   double cpus = 0;
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -199,7 +199,7 @@
   if (!leadership_.leading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
   Leader* leader = activeLeader();
   if (leader == nullptr) return context_.later(request);
-  auto response = leader->onHeartbeat(*heartbeat, Leader::Source::heartbeat);
+  auto response = leader->onHeartbeat(*heartbeat, HeartbeatSource::heartbeat);
   if (response.status != http::kOk) return context_.later(request);
   context_.reply(request, http::kOk, std::move(response.body));
 }
@@ -217,7 +217,7 @@
   const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
   Leader* leader = activeLeader();
   if (heartbeat && leader != nullptr) {
-    const auto given = leader->onHeartbeat(*heartbeat, Leader::Source::relay);
+    const auto given = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
     if (context_.logs(Level::debug))
       context_.event(Level::debug, "relayed",
                      {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -32,8 +32,6 @@
 // when it is deposed; first loads the records of earlier leaders. Not thread-safe.
 class Leader {
  public:
-  using Source = HeartbeatSource;
-
   // `partitionRevisions`: revision of each partition's key as this leader acquired it, by partition id.
   Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
          std::uint64_t term, std::vector<std::uint64_t> partitionRevisions);
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "fleet/pool_offers.hpp"
 #include "fleet/scaling.hpp"
 
 namespace reachhoist::service {
@@ -122,14 +123,8 @@
 
 std::map<cloud::PoolKey, std::size_t> Autoscaler::pendingByPool() const {
   std::map<cloud::PoolKey, std::size_t> pending;
-  for (const auto& machineType : *context_.catalog) {
-    for (const std::string& zone : machineType.zones) {
-      for (const bool spot : {false, true}) {
-        const cloud::PoolKey pool{machineType.label, zone, spot};
-        if (const std::size_t count = cloud_.pending(pool); count > 0) pending[pool] = count;
-      }
-    }
-  }
+  for (const fleet::PoolOffer& offer : fleet::offeredPools(*context_.catalog))
+    if (const std::size_t count = cloud_.pending(offer.key); count > 0) pending[offer.key] = count;
   return pending;
 }
 
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -119,7 +119,7 @@
   jobs::Job* job = state_.jobs.find(ref);
   if (job == nullptr || !job->open() || !job->isGang()) return;
   if (!attemptInProgress(*job)) return;
-  const double graceS = job->spec.checkpointS + 1;
+  const double graceS = job->spec.checkpointS + constants::kCheckpointGraceMarginS;
   const bool saves =
       job->gang.state == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
   setState(*job, GangState::stopping, why);
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "service/leader/attempt_fields.hpp"
+
 namespace reachhoist::service {
 
 namespace {
@@ -137,10 +139,8 @@
   stray.stopRequested = true;
   stray.phase = AttemptPhase::recorded;
   stray.phaseSince = stray.placedAt = context_.now;
-  if (const jobs::Job* job = state_.jobs.find(status.task.job.text); job != nullptr) {
-    stray.resources = job->spec.each;
-    stray.team = job->spec.team;
-  }
+  if (const jobs::Job* job = state_.jobs.find(status.task.job.text); job != nullptr)
+    setResourceFields(stray, job->spec);
   machine.attempts.push_back(std::move(stray));
   context_.event(Level::info, "unknown_attempt",
                  {{"machine", machine.host.text}, {"task", status.task.str()}});
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -7,11 +7,6 @@
 namespace {
 // Bytes that a host name takes in a JSON array beside its text: two quotes and a comma.
 constexpr std::size_t kJsonItemOverhead = 3;
-
-// Time in seconds that a single task gets for a checkpoint when it is stopped.
-double checkpointGraceS(const Attempt& attempt) {
-  return attempt.canCheckpoint ? attempt.checkpointS + 1 : 0;
-}
 }  // namespace
 
 MachineLifecycle::MachineLifecycle(LeaderState& state, GangCoordinator& gangs, cloud::Client& cloud)
@@ -38,7 +33,7 @@
   context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
   for (Attempt& attempt : machine.attempts) {
     if (mode == DrainMode::graceful && !attempt.isService) continue;
-    gangs_.stop(machine, attempt, checkpointGraceS(attempt), constants::kUnlimitedStopTimeS, why);
+    gangs_.stop(machine, attempt, attempt.stopGraceS(), constants::kUnlimitedStopTimeS, why);
   }
 }
 
@@ -59,7 +54,7 @@
     const double ranS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
     const bool endsInTime = !attempt.isService && running && expectS - ranS < leftS;
     if (endsInTime) continue;
-    gangs_.stop(machine, attempt, checkpointGraceS(attempt), leftS, "spot notice");
+    gangs_.stop(machine, attempt, attempt.stopGraceS(), leftS, "spot notice");
   }
 }
 
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -38,9 +38,9 @@
 
 // --- decisions ---------------------------------------------------------------------------------------------
 
-placement::SchedulingInput PlacementScheduler::worldForRound() {
+placement::SchedulingInput PlacementScheduler::schedulingInput() {
   const std::size_t ops = context_.settings.state.opsPerTransaction;
-  placement::SchedulingInput world{context_.settings,
+  placement::SchedulingInput input{context_.settings,
                                    context_.now,
                                    context_.wallMs,
                                    {},
@@ -49,21 +49,21 @@
                                    4 * ops - constants::kMaxBatchesPerRound - state_.partitionCount()};
   for (const std::string& ref : state_.jobs.open()) {
     jobs::Job* job = state_.jobs.find(ref);
-    world.openJobs.push_back(job);
-    if (job->waiting > 0) world.waitingJobs.push_back(job);
+    input.openJobs.push_back(job);
+    if (job->waiting > 0) input.waitingJobs.push_back(job);
   }
-  return world;
+  return input;
 }
 
 placement::PlacementPlan PlacementScheduler::plan() {
-  placement::SchedulingInput world = worldForRound();
-  shares_.prepare(world, mayPreemptForShares());
-  if (world.waitingJobs.empty()) {
+  placement::SchedulingInput input = schedulingInput();
+  shares_.prepare(input, mayPreemptForShares());
+  if (input.waitingJobs.empty()) {
     unplaced_.clear();
     return {};
   }
-  world.machines = state_.existingMachines();
-  placement::PlacementPlan plan = placement::planPlacements(world);
+  input.machines = state_.existingMachines();
+  placement::PlacementPlan plan = placement::planPlacements(input);
   shares_.onPlanned(plan);
   unplaced_ = std::move(plan.unplaced);
   // Waiting work is looked at again when something has changed, or when time alone may have changed it.
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -44,7 +44,7 @@
   using HostsByBatch = std::map<std::uint32_t, std::set<std::string>>;
 
   placement::PlacementPlan plan();
-  placement::SchedulingInput worldForRound();
+  placement::SchedulingInput schedulingInput();
   void preempt(const std::vector<placement::Preemption>& stops);
   // Whether tasks may be preempted for the sake of shares.
   bool mayPreemptForShares() const;
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -11,12 +11,12 @@
 void SizingStateStore::load() {
   nextSave_ = context_.now + constants::kSizingStateSaveInterval;
   context_.state.get(context_.now, state::Urgency::complete, kSizingStateKey,
-                     [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-                       if (!alive.lock() || !result.ok()) return;
+                     guard_.wrap([this](const wire::CallResult& result) {
+                       if (!result.ok()) return;
                        const Json* value = wire::field(result.body, "value");
                        if (value == nullptr || !sizing_.decode(*value))
                          context_.event(Level::error, "bad_record", {{"key", kSizingStateKey}});
-                     });
+                     }));
 }
 
 void SizingStateStore::tick() {
--- a/src/service/leader/sizing_state_store.hpp
+++ b/src/service/leader/sizing_state_store.hpp
@@ -1,10 +1,9 @@
 // Keeps a copy of the sizing state in the key-value store for the next leader.
 #pragma once
 
-#include <memory>
-
 #include "fleet/sizing.hpp"
 #include "service/leader/leader_state.hpp"
+#include "state/callback_guard.hpp"
 
 namespace reachhoist::service {
 
@@ -25,7 +24,7 @@
   Context& context_;
   fleet::Sizing& sizing_;
   Time nextSave_{};
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  state::CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -68,15 +68,14 @@
 // The job feed reads the jobs all the time: it only has to be up to date.
 void StateLoader::confirmJobs() {
   ++readsInFlight_;
-  state_.jobFeed.confirm(context_.now, [this, alive = std::weak_ptr<int>(alive_)](bool ok) {
-    if (!alive.lock()) return;
+  state_.jobFeed.confirm(context_.now, guard_.wrap([this](bool ok) {
     --readsInFlight_;
     if (ok) {
       missing_.erase(RecordKind::jobs);
     } else {
       retryAt_ = context_.now + constants::kStateBackoff;
     }
-  });
+  }));
 }
 
 std::string StateLoader::prefixOf(RecordKind kind) {
@@ -95,10 +94,9 @@
 
 void StateLoader::listRecords(RecordKind kind, const std::string& after) {
   ++readsInFlight_;
-  context_.state.list(context_.now, state::Urgency::lease, prefixOf(kind), after,
-                      [this, kind, alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-                        if (alive.lock()) onRecordsListed(kind, result);
-                      });
+  context_.state.list(
+      context_.now, state::Urgency::lease, prefixOf(kind), after,
+      guard_.wrap([this, kind](const wire::CallResult& result) { onRecordsListed(kind, result); }));
 }
 
 void StateLoader::onRecordsListed(RecordKind kind, const wire::CallResult& result) {
--- a/src/service/leader/state_loader.hpp
+++ b/src/service/leader/state_loader.hpp
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <set>
 #include <string>
 #include <vector>
@@ -13,6 +12,7 @@
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
 #include "service/leader/machine_lifecycle.hpp"
+#include "state/callback_guard.hpp"
 
 namespace reachhoist::service {
 
@@ -71,7 +71,7 @@
   Time retryAt_{};
   std::vector<CompletionChunk> completionChunks_;
   std::vector<std::string> decommissionedHosts_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  state::CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -162,12 +162,11 @@
   call.body = wire::encodeCommands(direct.token, direct.commands);
   call.body["shift"] = direct.incarnation;
   call.timeout = constants::kWorkerCallTimeout;
-  context_.calls.start(std::move(call), [this, direct = std::move(direct),
-                                         alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-    if (!alive.lock()) return;
-    callEnds();
-    onDirectAnswer(direct, result);
-  });
+  context_.calls.start(std::move(call),
+                       guard_.wrap([this, direct = std::move(direct)](const wire::CallResult& result) {
+                         callEnds();
+                         onDirectAnswer(direct, result);
+                       }));
 }
 
 void WorkerCommands::onDirectAnswer(const DirectCall& call, const wire::CallResult& result) {
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -4,7 +4,6 @@
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <optional>
 #include <set>
 #include <string>
@@ -12,6 +11,7 @@
 
 #include "cluster/leadership.hpp"
 #include "service/leader/leader_state.hpp"
+#include "state/callback_guard.hpp"
 
 namespace reachhoist::service {
 
@@ -86,7 +86,7 @@
   Hooks hooks_;
   std::size_t callsInFlight_ = 0;
   std::set<std::string> dueHosts_;  // machines with commands that a direct call should carry
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  state::CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -56,10 +56,10 @@
   call.method = "GET";
   call.path = "/inspect";
   call.timeout = constants::kWorkerCallTimeout;
-  context_.calls.start(std::move(call), [this, host = machine.host.text,
-                                         alive = std::weak_ptr<int>(alive_)](const wire::CallResult& result) {
-    if (alive.lock()) onAnswer(host, result);
-  });
+  context_.calls.start(std::move(call),
+                       guard_.wrap([this, host = machine.host.text](const wire::CallResult& result) {
+                         onAnswer(host, result);
+                       }));
 }
 
 void WorkerProber::onAnswer(const std::string& host, const wire::CallResult& result) {
--- a/src/service/leader/worker_prober.hpp
+++ b/src/service/leader/worker_prober.hpp
@@ -1,12 +1,12 @@
 // Direct requests for the state of workers that are not heard from.
 #pragma once
 
-#include <memory>
 #include <string>
 
 #include "service/leader/heartbeat_processor.hpp"
 #include "service/leader/leader_state.hpp"
 #include "service/leader/worker_commands.hpp"
+#include "state/callback_guard.hpp"
 
 namespace reachhoist::service {
 
@@ -36,7 +36,7 @@
   Context& context_;
   WorkerCommands& commands_;
   HeartbeatProcessor& heartbeats_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  state::CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -61,9 +61,7 @@
   transaction.writes.push_back({shares::kTableKey, shares::encode(configured_), std::nullopt});
   // The watch shows whether it was applied.
   context_.state.transact(context_.now, state::Urgency::rest, transaction,
-                          [this, alive = std::weak_ptr<int>(alive_)](const wire::CallResult&) {
-                            if (alive.lock()) writing_ = false;
-                          });
+                          guard_.wrap([this](const wire::CallResult&) { writing_ = false; }));
 }
 
 }  // namespace reachhoist::service
--- a/src/service/shares.hpp
+++ b/src/service/shares.hpp
@@ -2,11 +2,11 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <optional>
 
 #include "service/context.hpp"
 #include "shares/table.hpp"
+#include "state/callback_guard.hpp"
 #include "state/key_watch.hpp"
 
 namespace reachhoist::service {
@@ -34,7 +34,7 @@
   std::uint64_t revision_ = 0;                     // of the stored record
   bool writing_ = false;
   Time retryAt_{};
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  state::CallbackGuard guard_;
 };
 
 }  // namespace reachhoist::service
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -12,9 +12,6 @@
 using machines::Attempt;
 using machines::Machine;
 
-constexpr double kLeastCpus = 0.01;      // divisor for tasks that ask for no CPUs
-constexpr double kQuotaRounding = 1e-6;  // tasks; quotients of fractions are not exact
-
 // Machines whose capacity is divided. Work on the others is about to end or to be moved.
 bool isCounted(const Machine& machine) {
   return machine.phase == machines::MachinePhase::up && !machine.faults.quarantined && !machine.spotNoticeAt;
@@ -56,7 +53,8 @@
     const auto found = free_.find(job.spec.team);
     if (found == free_.end()) return tasks;
     double fit =
-        std::floor(std::max(0.0, found->second) / std::max(job.spec.each.vcpus, kLeastCpus) + kQuotaRounding);
+        std::floor(std::max(0.0, found->second) / std::max(job.spec.each.vcpus, constants::kMinCpuDivisor) +
+                   constants::kResourceRounding);
     if (job.isGang() && fit < tasks) fit = 0;
     fit = std::min(fit, tasks);
     found->second -= fit * job.spec.each.vcpus;
--- a/src/state/callback_guard.hpp
+++ b/src/state/callback_guard.hpp
@@ -18,11 +18,11 @@
 
   // A callback that passes its result on while the guard holds.
   template <class Callback>
-  wire::Calls::Done wrap(Callback callback) const {
-    return [callback = std::move(callback),
-            alive = std::weak_ptr<const int>(alive_)](const wire::CallResult& result) {
-      if (!alive.expired()) callback(result);
-    };
+  auto wrap(Callback callback) const {
+    return
+        [callback = std::move(callback), alive = std::weak_ptr<const int>(alive_)](const auto&... results) {
+          if (!alive.expired()) callback(results...);
+        };
   }
   // Disables all callbacks wrapped so far.
   void revoke() { alive_ = std::make_shared<const int>(0); }
