--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -10,7 +10,6 @@
 
 using Catalog = std::vector<wire::MachineType>;
 
-constexpr double kRoundingSlack = 1e-6;  // vCPUs or accelerators, for sums of fractions
 constexpr double kBytesPerKb = 1024;
 
 bool offeredInZone(const wire::MachineType& machineType, const std::optional<std::string>& zone) {
@@ -27,9 +26,10 @@
 bool exceedsTeamLimit(const wire::JobSpec& spec, const config::Team& team) {
   // The tasks of an array may run one after another.
   const double concurrentTasks = spec.kind == wire::JobKind::array ? 1 : spec.taskCount;
-  const bool cpus = team.cpusMax > 0 && spec.each.vcpus * concurrentTasks > team.cpusMax + kRoundingSlack;
-  const bool gpus =
-      team.gpusMax > 0 && spec.each.accelerators * concurrentTasks > team.gpusMax + kRoundingSlack;
+  const bool cpus =
+      team.cpusMax > 0 && spec.each.vcpus * concurrentTasks > team.cpusMax + constants::kResourceRounding;
+  const bool gpus = team.gpusMax > 0 &&
+                    spec.each.accelerators * concurrentTasks > team.gpusMax + constants::kResourceRounding;
   return cpus || gpus;
 }
 
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -1,6 +1,7 @@
 #include "service/job_api.hpp"
 
 #include "service/job_responses.hpp"
+#include "state/answers.hpp"
 
 namespace reachhoist::service {
 
@@ -93,8 +94,7 @@
 void JobApi::onAbortWritten(const Abort& abort, const Json& record, const wire::CallResult& result) {
   if (result.status == http::kConflict) return retryAbort(abort);
   if (!result.ok()) return context_.later(abort.request);
-  const std::uint64_t revision = wire::countField(result.body, "ledger").value_or(0);
-  const auto change = jobs_.apply(abort.ref, record, revision);
+  const auto change = jobs_.apply(abort.ref, record, state::appliedRevision(result));
   context_.reply(abort.request, http::kOk, jobSummary(*jobs_.find(abort.ref)));
   onJobChange_(change, abort.ref);
 }
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "service/job_responses.hpp"
+#include "state/answers.hpp"
 
 namespace reachhoist::service {
 
@@ -14,12 +15,6 @@
 // Users wait 2 s for an answer.
 constexpr std::chrono::milliseconds kSubmissionTimeout{1500};
 
-// Whether the conditions that failed include this key.
-bool conditionFailed(const Json* failedKeys, const std::string& key) {
-  return failedKeys != nullptr &&
-         std::find(failedKeys->begin(), failedKeys->end(), Json(key)) != failedKeys->end();
-}
-
 }  // namespace
 
 SubmissionQueue::SubmissionQueue(Context& context, state::Feed& feed, jobs::JobTable& jobs,
@@ -122,7 +117,7 @@
 }
 
 void SubmissionQueue::onAccepted(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
-  const std::uint64_t revision = wire::countField(result.body, "ledger").value_or(0);
+  const std::uint64_t revision = state::appliedRevision(result);
   for (const auto& [ref, record] : batch) {
     const auto change = jobs_.apply(ref, record, revision);
     const auto submission = submissions_.extract(ref);
@@ -137,13 +132,14 @@
 
 void SubmissionQueue::onConflict(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
   // Some jobs were accepted before, perhaps by another controller; the others are sent again without them.
-  const Json* failedKeys = wire::field(result.body, "failed");
+  const std::vector<std::string> failedKeys = state::failedConditions(result);
+  const auto conditionFailed = [&failedKeys](const std::string& key) {
+    return std::find(failedKeys.begin(), failedKeys.end(), key) != failedKeys.end();
+  };
   // The term's record has changed: the feed brings its new revision within moments.
-  if (conditionFailed(failedKeys, cluster::kTermKey)) resumeAt_ = context_.now + constants::kTickInterval;
+  if (conditionFailed(cluster::kTermKey)) resumeAt_ = context_.now + constants::kTickInterval;
   for (const JobRecord& job : batch) {
-    const bool exists =
-        failedKeys != nullptr && failedKeys->is_array() && conditionFailed(failedKeys, jobs::jobKey(job.ref));
-    if (exists) {
+    if (conditionFailed(jobs::jobKey(job.ref))) {
       answerFromExisting(job.ref);
     } else {
       queue_.push_front(job.ref);
