--- a/src/admin/rpc/state_loop.cpp
+++ b/src/admin/rpc/state_loop.cpp
@@ -81,7 +81,7 @@
   const auto promise = std::make_shared<std::promise<wire::CallResult>>();
   auto future = promise->get_future();
   post([this, key, promise] {
-    client_.get(reactor_.now(), state::Urgency::rest, key,
+    client_.get(reactor_.now(), state::Urgency::background, key,
                 [promise](const wire::CallResult& result) { promise->set_value(result); });
   });
   if (future.wait_until(deadline) != std::future_status::ready) return std::nullopt;
--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -61,7 +61,7 @@
 
 void ShareEdit::read() {
   to(State::reading);
-  client_.get(now_, state::Urgency::rest, shares::kTableKey,
+  client_.get(now_, state::Urgency::background, shares::kTableKey,
               [self = shared_from_this()](const wire::CallResult& result) {
                 if (self->state_ == State::reading) self->onRead(result);
               });
@@ -87,7 +87,7 @@
   transaction.conditions.push_back({shares::kTableKey, revision});
   transaction.writes.push_back({shares::kTableKey, shares::encode(table), std::nullopt});
   client_.transact(
-      now_, state::Urgency::rest, transaction,
+      now_, state::Urgency::background, transaction,
       [self = shared_from_this(), generation = table.generation](const wire::CallResult& result) {
         if (self->state_ == State::writing) self->onWritten(result, generation);
       });
--- a/src/calls/executor.cpp
+++ b/src/calls/executor.cpp
@@ -12,7 +12,7 @@
       co_await client.call(call.endpoint, call.method, call.path, std::move(body), call.timeout);
   wire::CallResult result;
   result.sent = answer.sent;
-  result.tooLarge = answer.tooLarge;
+  result.responseTooLarge = answer.tooLarge;
   if (answer.status == 0) co_return result;
   result.status = answer.status;
   if (answer.body.empty()) co_return result;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -28,13 +28,13 @@
       settings_(settings),
       incarnationName_(std::move(incarnationName)),
       handlers_(std::move(handlers)),
-      budget_(settings.cloud.requestsPerS * kRateShare, settings.cloud.requestsPerS) {}
+      budget_(settings.cloudLimits.requestsPerS * kRateShare, settings.cloudLimits.requestsPerS) {}
 
 bool Client::call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done) {
   if (!budget_.affords(now, 1)) return false;
   budget_.take(now, 1);
   wire::Call call;
-  call.to = wire::Service::cloud;
+  call.service = wire::Service::cloud;
   call.endpoint = settings_.endpoints.cloud;
   call.method = method;
   call.path = std::move(path);
@@ -156,7 +156,7 @@
   }
   for (const Json& entry : *hosts) {
     if (auto instance = wire::decodeInstance(entry)) {
-      listAfter_ = instance->ref.text;
+      listAfter_ = instance->host.text;
       listedSoFar_.push_back(std::move(*instance));
     }
   }
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -150,7 +150,7 @@
   transaction.conditions = {{kLeaderKey, leaderRevision_}, {kTermKey, termRevision_}};
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
   transaction.writes.push_back(writeTerm(term, layout_));
-  const bool fitsAll = partitionCount_ + transaction.writes.size() <= settings_.state.opsPerTransaction;
+  const bool fitsAll = partitionCount_ + transaction.writes.size() <= settings_.stateLimits.opsPerTransaction;
   const PartitionId included = fitsAll ? partitionCount_ : 0;
   for (PartitionId partition = 0; partition < included; ++partition)
     transaction.writes.push_back(writePartition(partition, term));
@@ -192,7 +192,8 @@
   }
   acquireInFlight_ = true;
   const auto from = static_cast<PartitionId>(partitionRevisions_.size());
-  const PartitionId end = std::min<PartitionId>(partitionCount_, from + settings_.state.opsPerTransaction);
+  const PartitionId end =
+      std::min<PartitionId>(partitionCount_, from + settings_.stateLimits.opsPerTransaction);
   state::Transaction transaction;
   transaction.conditions = {{kTermKey, ownRevision_}};
   for (PartitionId partition = from; partition < end; ++partition)
--- a/src/config/platform_file.cpp
+++ b/src/config/platform_file.cpp
@@ -74,7 +74,7 @@
 void readStateLimits(JsonReader& reader, StateLimits& out) {
   reader.amount("rps", out.requestsPerS, 1);
   reader.amount("write_rps", out.writesPerS, 1);
-  reader.amount("value_kb", out.valueKb, 2);
+  reader.amount("value_kb", out.maxValueKib, 2);
   reader.count("txn_ops", out.opsPerTransaction, 4);
 }
 
@@ -84,7 +84,7 @@
   JsonReader next = state.object("next");
   next.lowerAmount("rps", out.requestsPerS, 1);
   next.lowerAmount("write_rps", out.writesPerS, 1);
-  next.lowerAmount("value_kb", out.valueKb, 2);
+  next.lowerAmount("value_kb", out.maxValueKib, 2);
   next.lowerCount("txn_ops", out.opsPerTransaction, 4);
 }
 
@@ -112,11 +112,11 @@
   readObjectives(facts, out.objectives);
   readWorkers(facts.object("workers"), out.workers);
   JsonReader state = facts.object("state");
-  readStateLimits(state, out.state);
-  out.initialPartitions = partitionsOf(out.initialSize, out.state.opsPerTransaction);
-  lowerToAnnounced(state, out.state);
-  readCloudLimits(facts.object("cloud"), out.cloud);
-  readProcessLimits(facts.object("limits"), out.limits);
+  readStateLimits(state, out.stateLimits);
+  out.initialPartitions = partitionsOf(out.initialSize, out.stateLimits.opsPerTransaction);
+  lowerToAnnounced(state, out.stateLimits);
+  readCloudLimits(facts.object("cloud"), out.cloudLimits);
+  readProcessLimits(facts.object("limits"), out.processLimits);
   facts.amount("clock_off_ms", out.clockOffMs, 0);
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -19,7 +19,8 @@
 }
 
 unsigned Settings::clientSockets() const {
-  return std::max(constants::kMinClientSockets, limits.maxConnections / constants::kClientSocketsDivisor);
+  return std::max(constants::kMinClientSockets,
+                  processLimits.maxConnections / constants::kClientSocketsDivisor);
 }
 
 std::chrono::milliseconds Settings::answerWindow() const {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -56,7 +56,7 @@
 struct StateLimits {
   double requestsPerS = 60;
   double writesPerS = 20;
-  double valueKb = 8;               // largest value, in KiB
+  double maxValueKib = 8;           // largest value, in KiB
   unsigned opsPerTransaction = 12;  // puts and deletes
 };
 
@@ -117,9 +117,9 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   WorkerSettings workers;
-  StateLimits state;
-  CloudLimits cloud;
-  ProcessLimits limits;
+  StateLimits stateLimits;
+  CloudLimits cloudLimits;
+  ProcessLimits processLimits;
   double clockOffMs = 0;  // how far the time of day may be off, in milliseconds
   // Partitions of a first start. From the present limits, also where lower ones are announced: the number is
   // kept for ever, and every version must come to the same.
@@ -136,7 +136,7 @@
   unsigned maxWorkerCalls() const { return clientSockets() - constants::kReservedServiceSockets; }
   // Sockets for incoming connections of workers and users.
   unsigned serverSockets() const {
-    return limits.maxConnections - clientSockets() - constants::kPeerLinkSockets;
+    return processLimits.maxConnections - clientSockets() - constants::kPeerLinkSockets;
   }
 
   // How long after its leadership was last confirmed a controller may still answer heartbeats
--- a/src/fleet/boot_times.cpp
+++ b/src/fleet/boot_times.cpp
@@ -37,17 +37,17 @@
 }
 
 wire::Duration BootHistory::expectedBootTime(const std::string& machineType, const std::string& zone,
-                                             double bootS, Time now) const {
-  const auto expected = wire::seconds(bootS * constants::kExpectedBootFactor);
+                                             double nominalBootTimeS, Time now) const {
+  const auto expected = wire::seconds(nominalBootTimeS * constants::kExpectedBootFactor);
   return std::max(expected, wire::seconds(constants::kMedianBootExpectedFactor *
                                           wire::toSeconds(medianBootTime({machineType, zone}, now)))) +
          constants::kFirstHeartbeatSlack;
 }
 
-wire::Duration BootHistory::bootTimeout(const std::string& machineType, const std::string& zone, double bootS,
-                                        Time now) const {
-  const Duration timeout =
-      std::max<Duration>(constants::kMinBootTimeout, wire::seconds(bootS * constants::kBootTimeoutFactor));
+wire::Duration BootHistory::bootTimeout(const std::string& machineType, const std::string& zone,
+                                        double nominalBootTimeS, Time now) const {
+  const Duration timeout = std::max<Duration>(
+      constants::kMinBootTimeout, wire::seconds(nominalBootTimeS * constants::kBootTimeoutFactor));
   return std::max(timeout, constants::kMedianBootTimeoutFactor * medianBootTime({machineType, zone}, now));
 }
 
--- a/src/fleet/boot_times.hpp
+++ b/src/fleet/boot_times.hpp
@@ -24,12 +24,13 @@
   void recordBootTimeout(const std::string& machineType, const std::string& zone, Time now);
 
   // How long after its instance request an instance of this type and zone is expected to be up, given the
-  // catalogue's boot time `bootS` in seconds.
-  Duration expectedBootTime(const std::string& machineType, const std::string& zone, double bootS,
+  // catalogue's boot time `nominalBootTimeS` in seconds.
+  Duration expectedBootTime(const std::string& machineType, const std::string& zone, double nominalBootTimeS,
                             Time now) const;
   // After how long from its instance request a booting instance is given up, if others of its launch cohort
   // have come up.
-  Duration bootTimeout(const std::string& machineType, const std::string& zone, double bootS, Time now) const;
+  Duration bootTimeout(const std::string& machineType, const std::string& zone, double nominalBootTimeS,
+                       Time now) const;
   // How much dearer a pool's instances are for those that never come up: 1 where all come up.
   double costFactor(const std::string& machineType, const std::string& zone, Time now) const;
 
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -14,10 +14,10 @@
 
 // The catalogue's boot time of the machine's type; zero for a type that the catalogue no longer offers.
 double catalogBootSeconds(const FleetSnapshot& snapshot, const Machine& machine) {
-  double bootS = 0;
+  double nominalBootTimeS = 0;
   for (const wire::MachineType& machineType : snapshot.catalog)
-    if (machineType.label == machine.machineType) bootS = machineType.bootS;
-  return bootS;
+    if (machineType.name == machine.machineType) nominalBootTimeS = machineType.nominalBootTimeS;
+  return nominalBootTimeS;
 }
 
 }  // namespace
@@ -52,9 +52,9 @@
 void packInto(QueuedWork& queued, PendingInstance& instance) {
   const wire::JobSpec& spec = queued.demand.job->spec;
   if (!placement::isEligible(spec, instance.pool.machineType, instance.pool.zone, instance.pool.spot)) return;
-  while (queued.demand.tasks > 0 && spec.each.fitsIn(instance.free) &&
+  while (queued.demand.tasks > 0 && spec.taskResources.fitsIn(instance.free) &&
          placement::zoneSpreadAllows(spec, queued.tasksByZone, instance.pool.zone)) {
-    instance.free -= spec.each;
+    instance.free -= spec.taskResources;
     ++queued.tasksByZone[instance.pool.zone];
     --queued.demand.tasks;
   }
@@ -79,7 +79,7 @@
   out.reserve(work.size());
   for (const placement::UnplacedDemand& demand : work) {
     out.push_back(QueuedWork{demand, {}});
-    if (demand.job->spec.apart || demand.job->spec.oneZone)
+    if (demand.job->spec.spreadZones || demand.job->spec.singleZone)
       zoned[demand.job->spec.ref.text] = &out.back().tasksByZone;
   }
   if (zoned.empty()) return out;
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -20,7 +20,7 @@
 
 // Whether the attempt holds capacity that the reserve is for. Other work there can be preempted.
 bool holdsReserve(const machines::Attempt& attempt) {
-  return attempt.priority >= wire::Priority::high || attempt.gang;
+  return attempt.priority >= wire::Priority::high || attempt.isGangMember;
 }
 
 // The on-demand capacity, in vCPUs, of the work that the reserve is for.
@@ -53,7 +53,7 @@
   }
   for (const placement::UnplacedDemand& demand : snapshot.unplaced)
     if (needsReserve(demand.job->spec) && !inScaleOutBackoff(snapshot, demand))
-      out.free -= demand.job->spec.each.vcpus * demand.tasks;
+      out.free -= demand.job->spec.taskResources.vcpus * demand.tasks;
   return out;
 }
 
@@ -68,7 +68,7 @@
         machineType->capacity.vcpus <= 0)
       continue;
     // Price of a vCPU; the zone with the least free capacity breaks ties.
-    const double cost = machineType->rate / machineType->capacity.vcpus *
+    const double cost = machineType->onDemandPricePerHour / machineType->capacity.vcpus *
                         snapshot.bootTimes.costFactor(key.machineType, key.zone, snapshot.now) *
                         (1 + kSpreadWeight * capacity.freeByZone[key.zone] / machineType->capacity.vcpus);
     if (cost >= bestCost) continue;
--- a/src/fleet/unplaced_demand.cpp
+++ b/src/fleet/unplaced_demand.cpp
@@ -32,13 +32,13 @@
 }
 
 // Whether the job should get instances now, or can wait for capacity that frees up.
-bool urgent(const FleetSnapshot& snapshot, const jobs::Job& job, double bootS) {
+bool urgent(const FleetSnapshot& snapshot, const jobs::Job& job, double nominalBootTimeS) {
   if (job.spec.priority >= wire::Priority::high) return true;
   // Capacity that frees up by itself comes in pieces.
   if (job.isGang()) return true;
-  if (job.spec.dueS) {
+  if (job.spec.deadlineS) {
     const double slackS = static_cast<double>(job.deadlineMs() - snapshot.wallMs) / 1000.0 -
-                          job.spec.expectS - kBootReserve * bootS;
+                          job.spec.expectedRunTimeS - kBootReserve * nominalBootTimeS;
     if (slackS < kWaitForFreedCapacityS) return true;
   }
   return wire::toSeconds(snapshot.now - job.waitingSince) >= kWaitForFreedCapacityS;
@@ -133,7 +133,7 @@
       return false;
     if (!placement::isEligible(spec, key.machineType, key.zone, key.spot)) return false;
     return placement::zoneSpreadAllows(spec, queued.tasksByZone, key.zone) &&
-           urgent(snapshot_, *queued.demand.job, machineType->bootS);
+           urgent(snapshot_, *queued.demand.job, machineType->nominalBootTimeS);
   }
 
   // Price of the capacity of one task in the pool; a larger pool in one zone breaks ties the other way, to
@@ -152,7 +152,7 @@
     double bestCost = std::numeric_limits<double>::max();
     for (const PoolOffer& pool : pools_) {
       if (!mayUse(queued, pool)) continue;
-      const int fit = tasksThatFit(queued.demand.job->spec.each, pool.machineType->capacity);
+      const int fit = tasksThatFit(queued.demand.job->spec.taskResources, pool.machineType->capacity);
       if (fit < 1) continue;
       const double cost = taskCost(queued, pool, fit);
       if (cost >= bestCost) continue;
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -119,8 +119,8 @@
 }
 
 std::int64_t Job::deadlineMs() const {
-  if (!spec.dueS) return std::numeric_limits<std::int64_t>::max();
-  return acceptedMs + static_cast<std::int64_t>(*spec.dueS * 1000);
+  if (!spec.deadlineS) return std::numeric_limits<std::int64_t>::max();
+  return acceptedMs + static_cast<std::int64_t>(*spec.deadlineS * 1000);
 }
 
 Json encodeOpen(const Job& job) {
@@ -135,9 +135,9 @@
               {"atMs", job.acceptedMs},
               {"loads", job.spec.taskCount},
               {"crew", job.spec.team},
-              {"vcpus", job.spec.each.vcpus},
-              {"accelerators", job.spec.each.accelerators},
-              {"memoryGb", job.spec.each.memoryGb}};
+              {"vcpus", job.spec.taskResources.vcpus},
+              {"accelerators", job.spec.taskResources.accelerators},
+              {"memoryGb", job.spec.taskResources.memoryGb}};
 }
 
 JobTable::Change JobTable::apply(const std::string& ref, const Json& value, std::uint64_t revision) {
@@ -157,7 +157,7 @@
   auto decoded = spec != nullptr ? wire::decodeJob(*spec) : wire::Result<wire::JobSpec>::failure("no spec");
   if (!decoded) return Change::malformed;
   // A final phase never changes back, whatever a record says.
-  if (known != nullptr && !known->open()) return Change::malformed;
+  if (known != nullptr && !known->isOpen()) return Change::malformed;
   const bool isNew = known == nullptr;
   const Json* acceptedMs = wire::field(value, "atMs");
   Job& job = jobs_[ref];
@@ -171,7 +171,7 @@
 JobTable::Change JobTable::applyFinal(const std::string& ref, JobPhase phase, const Json& value,
                                       std::uint64_t revision) {
   const Job* known = find(ref);
-  const bool wasFinal = known != nullptr && !known->open();
+  const bool wasFinal = known != nullptr && !known->isOpen();
   Job& job = jobs_[ref];
   job.revision = revision;
   if (wasFinal) return job.phase == phase ? Change::none : Change::malformed;
@@ -180,9 +180,11 @@
   rest.ref.text = ref;
   rest.taskCount = static_cast<std::uint32_t>(wire::countField(value, "loads").value_or(job.spec.taskCount));
   rest.team = wire::textField(value, "crew").value_or(job.spec.team);
-  rest.each.vcpus = wire::amountField(value, "vcpus").value_or(job.spec.each.vcpus);
-  rest.each.accelerators = wire::amountField(value, "accelerators").value_or(job.spec.each.accelerators);
-  rest.each.memoryGb = wire::amountField(value, "memoryGb").value_or(job.spec.each.memoryGb);
+  rest.taskResources.vcpus = wire::amountField(value, "vcpus").value_or(job.spec.taskResources.vcpus);
+  rest.taskResources.accelerators =
+      wire::amountField(value, "accelerators").value_or(job.spec.taskResources.accelerators);
+  rest.taskResources.memoryGb =
+      wire::amountField(value, "memoryGb").value_or(job.spec.taskResources.memoryGb);
   job.spec = std::move(rest);
   open_.erase(ref);
   return Change::ended;
@@ -197,7 +199,7 @@
   constexpr std::string_view kPrefix = "done/";
   if (!key.starts_with(kPrefix)) return false;
   const Job* job = jobs.find(key.substr(kPrefix.size(), key.rfind('/') - kPrefix.size()));
-  return job != nullptr && !job->open();
+  return job != nullptr && !job->isOpen();
 }
 
 }  // namespace reachhoist::jobs
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -82,10 +82,10 @@
   Gang gang;
 
   // Whether the job is not final.
-  bool open() const { return phase == JobPhase::accepted; }
+  bool isOpen() const { return phase == JobPhase::accepted; }
   bool isGang() const { return spec.kind == wire::JobKind::gang; }
   // Whether all tasks are completed. Services never finish.
-  bool finished() const { return spec.kind != wire::JobKind::service && completed == spec.taskCount; }
+  bool isFinished() const { return spec.kind != wire::JobKind::service && completed == spec.taskCount; }
   // The stage shown to users.
   wire::JobStage displayedStage() const;
   // The one function that changes a task's phase; keeps the counters in step.
@@ -127,7 +127,7 @@
   // The job, or null. The pointer stays valid while the table exists.
   Job* find(const std::string& ref);
   // References of the open jobs.
-  const std::set<std::string>& open() const { return open_; }
+  const std::set<std::string>& openJobs() const { return open_; }
   std::size_t size() const { return jobs_.size(); }
 
  private:
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -6,7 +6,7 @@
 namespace reachhoist::machines {
 
 double Attempt::stopGraceS() const {
-  return canCheckpoint ? checkpointS + constants::kCheckpointGraceMarginS : 0;
+  return canCheckpoint ? checkpointDurationS + constants::kCheckpointGraceMarginS : 0;
 }
 
 void Attempt::setPhase(AttemptPhase next, Time now) {
@@ -54,18 +54,18 @@
 }
 
 double Machine::pullSeconds(double gigabytes) const {
-  return gigabytes / std::max(pullGbPerS, constants::kMinPullGbPerS);
+  return gigabytes / std::max(imagePullGbPerS, constants::kMinPullGbPerS);
 }
 
-void Machine::recordImage(const std::string& image, double sizeGb) {
-  images[image] = sizeGb;
+void Machine::recordImage(const std::string& image, double imageSizeGb) {
+  images[image] = imageSizeGb;
   // Which images a machine evicts when its cache is full is not known: only the newest is certain to be
   // there.
   double cachedGb = 0;
   for (const auto& [label, gb] : images) cachedGb += gb;
-  if (cacheGb > 0 && cachedGb > cacheGb) {
+  if (imageCacheGb > 0 && cachedGb > imageCacheGb) {
     images.clear();
-    images[image] = sizeGb;
+    images[image] = imageSizeGb;
   }
 }
 
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -16,13 +16,13 @@
 
 // The phase of a task attempt.
 enum class AttemptPhase {
-  planned,   // its placement record is being written
-  recorded,  // the record is durable: the attempt may be started
-  pulling,   // as the worker reports: its image is being pulled
-  running,   // as the worker reports
-  saving,    // as the worker reports: a checkpoint is being written before the stop
-  ended,     // as the worker reports
-  released   // proven gone: it holds no capacity and can be dropped
+  planned,        // its placement record is being written
+  recorded,       // the record is durable: the attempt may be started
+  pulling,        // as the worker reports: its image is being pulled
+  running,        // as the worker reports
+  checkpointing,  // as the worker reports: a checkpoint is being written before the stop
+  ended,          // as the worker reports
+  released        // proven gone: it holds no capacity and can be dropped
 };
 
 // One attempt to run a task on a machine.
@@ -32,18 +32,18 @@
   wire::Resources resources;
   std::string team;
   std::string image;
-  double sizeGb = 0;  // of the image
+  double imageSizeGb = 0;  // of the image
   wire::Priority priority = wire::Priority::standard;
   bool isService = false;
-  bool gang = false;           // belongs to a gang
-  bool canCheckpoint = false;  // writes checkpoints
-  double checkpointS = 0;      // time to write one
+  bool isGangMember = false;
+  bool canCheckpoint = false;      // writes checkpoints
+  double checkpointDurationS = 0;  // time to write one
   AttemptPhase phase = AttemptPhase::planned;
   wire::Cause cause = wire::Cause::none;  // why it ended
   bool inherited = false;  // from an earlier term: it may have ended and been forgotten by the worker already
   bool stopRequested = false;
-  double graceS = 0;      // time that the stop command allows for a checkpoint
-  bool stopSent = false;  // a stop command has been sent
+  double gracePeriodS = 0;  // time that the stop command allows for a checkpoint
+  bool stopSent = false;    // a stop command has been sent
   int directCommandsInFlight = 0;
   std::optional<std::uint64_t> unresolvedStartToken;  // fencing token of a direct start without an answer
   std::optional<std::uint32_t> batch;     // placement batch that holds its record; none: not recorded by us
@@ -56,7 +56,7 @@
   // Whether it takes up capacity of its machine.
   bool holdsCapacity() const { return phase != AttemptPhase::ended && phase != AttemptPhase::released; }
   // Whether its process exists on the machine.
-  bool isExecuting() const { return phase == AttemptPhase::running || phase == AttemptPhase::saving; }
+  bool isExecuting() const { return phase == AttemptPhase::running || phase == AttemptPhase::checkpointing; }
   // Grace period for a stop in seconds: long enough for a checkpoint, if the task writes any.
   double stopGraceS() const;
   // The one function that changes the phase.
@@ -112,8 +112,8 @@
   std::string zone;
   bool spot = false;
   wire::Resources total;
-  double cacheGb = 0;  // size of the image cache; 0: not known
-  double pullGbPerS = 1;
+  double imageCacheGb = 0;  // size of the image cache; 0: not known
+  double imagePullGbPerS = 1;
   MachinePhase phase = MachinePhase::booting;
   std::uint64_t incarnation = 0;      // of the worker; 0: not known yet
   std::uint64_t sequence = 0;         // of the last heartbeat; 0: none in this term
@@ -145,7 +145,7 @@
   // Seconds that a pull of so many GB takes.
   double pullSeconds(double gigabytes) const;
   // Records that the image is in the cache.
-  void recordImage(const std::string& image, double sizeGb);
+  void recordImage(const std::string& image, double imageSizeGb);
 };
 
 // The machines by host name. Not thread-safe.
--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -40,11 +40,11 @@
   const Machine& machine = *bin.machine;
   double seconds = 0;
   if (!machine.hasImage(job.spec.image)) {
-    const double pullS = machine.pullSeconds(job.spec.sizeGb);
+    const double pullS = machine.pullSeconds(job.spec.imageSizeGb);
     const bool shared = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
     seconds += shared ? pullS * constants::kSharedFetchCostShare : pullS;
   }
-  if (job.spec.spot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
+  if (job.spec.allowsSpot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
   const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, constants::kMinCpuDivisor);
   seconds += (job.spec.priority >= wire::Priority::high ? constants::kEmptyMachineServicePenaltyS
                                                         : constants::kEmptyMachineArrayPenaltyS) *
--- a/src/placement/gang_placer.cpp
+++ b/src/placement/gang_placer.cpp
@@ -11,7 +11,7 @@
   for (std::size_t i = 0; i < state_.bins.size(); ++i) {
     const Bin& bin = state_.bins[i];
     if (!zone.empty() && bin.machine->zone != zone) continue;
-    if (job.spec.each.fitsIn(bin.freeCapacity) && isUsable(bin, job))
+    if (job.spec.taskResources.fitsIn(bin.freeCapacity) && isUsable(bin, job))
       ranked.push_back(BinChoice{startDelayS(bin, job), i});
   }
   std::sort(ranked.begin(), ranked.end());
@@ -24,9 +24,9 @@
   for (const BinChoice& choice : rankBins(job, zone)) {
     const Bin& bin = state_.bins[choice.bin];
     wire::Resources capacity = bin.freeCapacity;
-    while (fit.bins.size() < job.spec.taskCount && job.spec.each.fitsIn(capacity) &&
+    while (fit.bins.size() < job.spec.taskCount && job.spec.taskResources.fitsIn(capacity) &&
            zoneSpreadAllows(job.spec, placed, bin.machine->zone)) {
-      capacity -= job.spec.each;
+      capacity -= job.spec.taskResources;
       ++placed[bin.machine->zone];
       fit.bins.push_back(choice.bin);
       fit.slowestStartS = choice.delayS;
@@ -62,7 +62,7 @@
   if (!state_.quotas.allows(job, job.spec.taskCount)) {
     if (!mayReserve(job)) return;
     ++reservedGangs_;
-    state_.quotas.add(job.spec.team, job.spec.each, job.spec.taskCount);
+    state_.quotas.add(job.spec.team, job.spec.taskResources, job.spec.taskCount);
     return;
   }
   const std::size_t assignments = state_.plan.assignments.size();
@@ -78,7 +78,7 @@
   preemptor_.preemptFor(job);
   if (!mayReserve(job)) return;
   ++reservedGangs_;
-  for (const std::size_t at : best.bins) state_.bins[at].freeCapacity -= job.spec.each;
+  for (const std::size_t at : best.bins) state_.bins[at].freeCapacity -= job.spec.taskResources;
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/gang_preemptor.cpp
+++ b/src/placement/gang_preemptor.cpp
@@ -12,7 +12,7 @@
 // Takes the capacity for as many tasks as fit, and returns their number.
 std::uint32_t takeFittingTasks(const Job& job, wire::Resources& capacity) {
   std::uint32_t fitting = 0;
-  for (; job.spec.each.fitsIn(capacity); ++fitting) capacity -= job.spec.each;
+  for (; job.spec.taskResources.fitsIn(capacity); ++fitting) capacity -= job.spec.taskResources;
   return fitting;
 }
 
@@ -61,8 +61,8 @@
     if (!attempt.holdsCapacity()) continue;
     if (attempt.stopRequested || state_.isPreempted(attempt)) {
       offer.capacity += attempt.resources;
-    } else if (!attempt.gang && (mayPreemptByRank(state_, job, claim.guaranteed, attempt) ||
-                                 (claim.forShare && mayPreemptForShare(state_, job, attempt)))) {
+    } else if (!attempt.isGangMember && (mayPreemptByRank(state_, job, claim.guaranteed, attempt) ||
+                                         (claim.forShare && mayPreemptForShare(state_, job, attempt)))) {
       offer.candidates.push_back(&attempt);
     }
   }
--- a/src/placement/pending_capacity.cpp
+++ b/src/placement/pending_capacity.cpp
@@ -9,9 +9,9 @@
   if (tasks == 0 || !bin.hasStoppingAttempts || !isUsable(bin, job)) return 0;
   wire::Resources capacity = bin.unpromisedCapacity();
   std::uint32_t pending = 0;
-  for (; pending < tasks && job.spec.each.fitsIn(capacity); ++pending) {
-    capacity -= job.spec.each;
-    bin.promised += job.spec.each;
+  for (; pending < tasks && job.spec.taskResources.fitsIn(capacity); ++pending) {
+    capacity -= job.spec.taskResources;
+    bin.promised += job.spec.taskResources;
   }
   return pending;
 }
@@ -25,8 +25,8 @@
     wire::Resources capacity = bin.freeCapacity;
     for (const machines::Attempt& attempt : bin.machine->attempts)
       if (attempt.holdsCapacity() && attempt.stopRequested) capacity += attempt.resources;
-    while (job.spec.each.fitsIn(capacity)) {
-      capacity -= job.spec.each;
+    while (job.spec.taskResources.fitsIn(capacity)) {
+      capacity -= job.spec.taskResources;
       ++pending;
     }
   }
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -11,18 +11,18 @@
 
 bool isEligible(const wire::JobSpec& job, const std::string& machineType, const std::string& zone,
                 bool spot) {
-  if (spot && !job.spot) return false;
-  if (job.zone && *job.zone != zone) return false;
+  if (spot && !job.allowsSpot) return false;
+  if (job.requiredZone && *job.requiredZone != zone) return false;
   return job.allowsMachineType(machineType);
 }
 
 bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placed,
                       const std::string& zone) {
-  if (job.oneZone) {
+  if (job.singleZone) {
     for (const auto& [other, count] : placed)
       if (count > 0 && other != zone) return false;
   }
-  if (job.apart) {
+  if (job.spreadZones) {
     const auto found = placed.find(zone);
     if (found != placed.end() && found->second >= (job.taskCount + 1) / 2) return false;
   }
@@ -44,8 +44,8 @@
     TeamUsage sum;
     for (const Job* job : jobs) {
       const double unfinished = job->spec.taskCount - job->completed;
-      sum.cpus += job->spec.each.vcpus * unfinished;
-      sum.gpus += job->spec.each.accelerators * unfinished;
+      sum.cpus += job->spec.taskResources.vcpus * unfinished;
+      sum.gpus += job->spec.taskResources.accelerators * unfinished;
       if (sum.cpus > team.cpus + constants::kResourceRounding ||
           sum.gpus > team.gpus + constants::kResourceRounding)
         break;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -29,7 +29,7 @@
   Machine* machine = nullptr;
   wire::TaskId task;
   std::uint64_t attempt = 0;  // attempt number
-  double graceS = 0;          // time that the stop allows for a checkpoint
+  double gracePeriodS = 0;    // time that the stop allows for a checkpoint
 };
 
 // Tasks of a job for which there was no capacity; input to the sizing of the fleet.
@@ -68,8 +68,8 @@
 // Whether machines of this kind may run the job at all, whatever its other tasks do.
 bool isEligible(const wire::JobSpec& job, const std::string& machineType, const std::string& zone, bool spot);
 
-// Whether one more task may go to the zone under the job's zone rules (`oneZone`, `apart`), given the number
-// of its placed tasks by zone.
+// Whether one more task may go to the zone under the job's zone rules (`singleZone`, `spreadZones`), given
+// the number of its placed tasks by zone.
 bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placed,
                       const std::string& zone);
 
--- a/src/placement/preemption_rules.cpp
+++ b/src/placement/preemption_rules.cpp
@@ -40,14 +40,14 @@
 
 double lostWorkS(const RoundState& state, const machines::Attempt& attempt) {
   // Preempting one task of a gang stops the whole gang.
-  if (attempt.gang) {
+  if (attempt.isGangMember) {
     const bool unreachable = state.unreachableGangs.contains(attempt.number);
     const double stopS =
         unreachable ? constants::kUnreachableGangPreemptionCostS : constants::kGangPreemptionCostS;
     return stopS + wire::toSeconds(state.input.now - attempt.placedAt);
   }
   if (attempt.phase != machines::AttemptPhase::running) return 0;
-  return attempt.canCheckpoint ? attempt.checkpointS
+  return attempt.canCheckpoint ? attempt.checkpointDurationS
                                : wire::toSeconds(state.input.now - attempt.runningSince);
 }
 
--- a/src/placement/rank_preemptor.cpp
+++ b/src/placement/rank_preemptor.cpp
@@ -41,14 +41,15 @@
       ranked.push_back(&attempt);
   sortByRankAndLoss(state_, ranked);
   wire::Resources capacity = bin.freeCapacity;
-  Candidate candidate{&bin, {}, machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.sizeGb)};
+  Candidate candidate{
+      &bin, {}, machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.imageSizeGb)};
   for (const auto* victim : ranked) {
-    if (job.spec.each.fitsIn(capacity)) break;
+    if (job.spec.taskResources.fitsIn(capacity)) break;
     capacity += victim->resources;
     candidate.costS += preemptionCostS(state_, *victim);
     candidate.victims.push_back(victim);
   }
-  if (!job.spec.each.fitsIn(capacity) || candidate.victims.empty()) return std::nullopt;
+  if (!job.spec.taskResources.fitsIn(capacity) || candidate.victims.empty()) return std::nullopt;
   return candidate;
 }
 
@@ -60,7 +61,7 @@
     state_.preempt(*bin.machine, *victim);
   }
   // The freed capacity is kept for the task that it was freed for.
-  bin.freeCapacity -= job.spec.each;
+  bin.freeCapacity -= job.spec.taskResources;
   state_.countInZone(job, bin.machine->zone);
 }
 
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -103,8 +103,9 @@
 
 bool Round::isAwaited(const Bin& bin) const {
   const wire::Resources capacity = bin.capacityAfterStops();
-  return std::any_of(state_.entitledJobs.begin(), state_.entitledJobs.end(),
-                     [&](const Job* job) { return job->spec.each.fitsIn(capacity) && isUsable(bin, *job); });
+  return std::any_of(state_.entitledJobs.begin(), state_.entitledJobs.end(), [&](const Job* job) {
+    return job->spec.taskResources.fitsIn(capacity) && isUsable(bin, *job);
+  });
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -14,7 +14,7 @@
   return team.cpus > 0 || team.cpusMax > 0 || team.gpus > 0 || team.gpusMax > 0;
 }
 
-bool dependsOnZones(const Job& job) { return job.spec.apart || job.spec.oneZone; }
+bool dependsOnZones(const Job& job) { return job.spec.spreadZones || job.spec.singleZone; }
 
 }  // namespace
 
@@ -47,7 +47,7 @@
     } else {
       bin.lowestPriority = std::min(bin.lowestPriority, attempt.priority);
     }
-    if (attempt.gang && !reachable) unreachableGangs.insert(attempt.number);
+    if (attempt.isGangMember && !reachable) unreachableGangs.insert(attempt.number);
   }
   anySpotMachine = anySpotMachine || machine.spot;
   lowestPriority = std::min(lowestPriority, bin.lowestPriority);
@@ -92,17 +92,17 @@
 }
 
 std::vector<std::string> RoundState::gangZones(const Job& job) const {
-  if (!job.spec.oneZone) return {""};
+  if (!job.spec.singleZone) return {""};
   std::set<std::string> zones;
   for (const Bin& bin : bins) zones.insert(bin.machine->zone);
   return {zones.begin(), zones.end()};
 }
 
 void RoundState::assign(Bin& bin, Job& job, std::uint32_t index) {
-  bin.freeCapacity -= job.spec.each;
+  bin.freeCapacity -= job.spec.taskResources;
   if (!bin.plansImage(job.spec.image)) bin.plannedImages.push_back(&job.spec.image);
   countInZone(job, bin.machine->zone);
-  quotas.add(job.spec.team, job.spec.each);
+  quotas.add(job.spec.team, job.spec.taskResources);
   if (shareAccount) shareAccount->start(job);
   plan.assignments.push_back(Assignment{&job, index, bin.machine});
 }
--- a/src/placement/share_preemptor.cpp
+++ b/src/placement/share_preemptor.cpp
@@ -19,8 +19,9 @@
   if (!state_.shareAccount->anyGroupAboveEntitlement() || foundNoVictimsBefore(job)) return;
   state_.plan.triedSharePreemption = true;
   std::vector<Candidate> candidates = findCandidates(job);
-  const bool anywhere = !job.spec.machineTypes && !job.spec.zone && !job.spec.oneZone && !job.spec.apart;
-  if (candidates.empty() && anywhere && (job.spec.spot || !state_.anySpotMachine))
+  const bool anywhere = !job.spec.allowedMachineTypes && !job.spec.requiredZone && !job.spec.singleZone &&
+                        !job.spec.spreadZones;
+  if (candidates.empty() && anywhere && (job.spec.allowsSpot || !state_.anySpotMachine))
     jobsWithoutVictims_.push_back(&job);
   preemptCheapest(job, std::move(candidates), tasks - covered);
 }
@@ -62,7 +63,8 @@
 
 bool SharePreemptor::foundNoVictimsBefore(const Job& job) const {
   return std::any_of(jobsWithoutVictims_.begin(), jobsWithoutVictims_.end(), [&](const Job* other) {
-    return other->spec.each.fitsIn(job.spec.each) && other->spec.priority >= job.spec.priority;
+    return other->spec.taskResources.fitsIn(job.spec.taskResources) &&
+           other->spec.priority >= job.spec.priority;
   });
 }
 
@@ -76,18 +78,19 @@
     if (mayPreemptForShare(state_, job, attempt)) ranked.push_back(&attempt);
   std::sort(ranked.begin(), ranked.end(),
             [this](const auto* a, const auto* b) { return lostWorkS(state_, *a) < lostWorkS(state_, *b); });
-  Candidate candidate{machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.sizeGb), at, {}};
+  Candidate candidate{
+      machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.imageSizeGb), at, {}};
   wire::Resources capacity = bin.unpromisedCapacity();
   shares::ShareAccount::ReclaimTrial trial(*state_.shareAccount);
   for (const auto* victim : ranked) {
-    if (job.spec.each.fitsIn(capacity)) break;
+    if (job.spec.taskResources.fitsIn(capacity)) break;
     if (!trial.mayReclaim(*victim)) continue;
     trial.reclaim(*victim);
     capacity += victim->resources;
     candidate.costS += preemptionCostS(state_, *victim);
     candidate.victims.push_back(victim);
   }
-  if (candidate.victims.empty() || !job.spec.each.fitsIn(capacity)) return std::nullopt;
+  if (candidate.victims.empty() || !job.spec.taskResources.fitsIn(capacity)) return std::nullopt;
   return candidate;
 }
 
@@ -100,7 +103,7 @@
     state_.preempt(*bin.machine, *victim);
     ++state_.plan.sharePreemptions;
   }
-  bin.promised += job.spec.each;
+  bin.promised += job.spec.taskResources;
   state_.shareAccount->claim(job);
   state_.countInZone(job, bin.machine->zone);
 }
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -13,11 +13,12 @@
 double sequentialRuns(const jobs::Job& job, const config::Settings& settings) {
   const config::Team* team = settings.team(job.spec.team);
   double atOnce = std::numeric_limits<double>::infinity();
-  if (team != nullptr && team->cpusMax > 0 && job.spec.each.vcpus > 0)
-    atOnce = std::min(atOnce, std::floor(team->cpusMax / job.spec.each.vcpus + constants::kResourceRounding));
-  if (team != nullptr && team->gpusMax > 0 && job.spec.each.accelerators > 0)
-    atOnce = std::min(atOnce,
-                      std::floor(team->gpusMax / job.spec.each.accelerators + constants::kResourceRounding));
+  if (team != nullptr && team->cpusMax > 0 && job.spec.taskResources.vcpus > 0)
+    atOnce = std::min(
+        atOnce, std::floor(team->cpusMax / job.spec.taskResources.vcpus + constants::kResourceRounding));
+  if (team != nullptr && team->gpusMax > 0 && job.spec.taskResources.accelerators > 0)
+    atOnce = std::min(atOnce, std::floor(team->gpusMax / job.spec.taskResources.accelerators +
+                                         constants::kResourceRounding));
   return std::max(1.0, std::ceil(job.waiting / std::max(1.0, atOnce)));
 }
 
@@ -25,9 +26,9 @@
 
 SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallMs) {
   const double runs = sequentialRuns(job, settings);
-  const double expectS = job.spec.expectS;
+  const double expectedRunTimeS = job.spec.expectedRunTimeS;
   // Estimates are often wrong by half: an SLO is given up only when it would be missed by that much.
-  const double slackS = expectS * constants::kEstimateSlack;
+  const double slackS = expectedRunTimeS * constants::kEstimateSlack;
   const double ageS = static_cast<double>(wallMs - job.acceptedMs) / 1000.0;
   double best = std::numeric_limits<double>::infinity();
   bool any = false;
@@ -39,15 +40,15 @@
   for (const config::Objective& objective : settings.objectives) {
     if (objective.jobClass != job.spec.jobClass) continue;
     if (objective.kind == "wait") {
-      consider(objective.withinS - expectS * (runs - 1));
+      consider(objective.withinS - expectedRunTimeS * (runs - 1));
     } else if (objective.kind == "finished") {
-      consider(objective.withinS - expectS * runs);
-    } else if (objective.kind == "deadline" && job.spec.dueS) {
+      consider(objective.withinS - expectedRunTimeS * runs);
+    } else if (objective.kind == "deadline" && job.spec.deadlineS) {
       due = true;
-      consider(*job.spec.dueS * (objective.times > 0 ? objective.times : 1) - expectS * runs);
+      consider(*job.spec.deadlineS * (objective.times > 0 ? objective.times : 1) - expectedRunTimeS * runs);
     }
   }
-  if (job.spec.dueS && !due) consider(*job.spec.dueS - expectS * runs);
+  if (job.spec.deadlineS && !due) consider(*job.spec.deadlineS - expectedRunTimeS * runs);
   if (!any) consider(wire::toSeconds(constants::kDefaultStartSlo));
   const bool reachable = std::isfinite(best);
   return SloOutlook{reachable, job.acceptedMs + (reachable ? static_cast<std::int64_t>(best * 1000) : 0)};
--- a/src/placement/task_placer.cpp
+++ b/src/placement/task_placer.cpp
@@ -10,7 +10,7 @@
   std::vector<BinChoice> choices;
   for (std::size_t i = 0; i < state_.bins.size(); ++i) {
     const Bin& bin = state_.bins[i];
-    if (!job.spec.each.fitsIn(bin.freeCapacity) || !isUsable(bin, job)) continue;
+    if (!job.spec.taskResources.fitsIn(bin.freeCapacity) || !isUsable(bin, job)) continue;
     if (use == ShareUse::leftoverCapacity && bin.awaited) continue;
     choices.push_back(BinChoice{startDelayS(bin, job), i});
   }
@@ -45,7 +45,7 @@
     if (!state_.zoneAccepts(job, bin.machine->zone)) continue;
     state_.assign(bin, job, index++);
     ++placed;
-    if (!job.spec.each.fitsIn(bin.freeCapacity)) continue;
+    if (!job.spec.taskResources.fitsIn(bin.freeCapacity)) continue;
     heap.push_back(BinChoice{startDelayS(bin, job), at});
     std::push_heap(heap.begin(), heap.end(), soonestFirst);
   }
--- a/src/placement/team_quotas.cpp
+++ b/src/placement/team_quotas.cpp
@@ -19,7 +19,7 @@
   if (team == nullptr) return false;
   if (team->cpusMax <= 0 && team->gpusMax <= 0) return true;
   const TeamUsage usage = usageOf(job.spec.team);
-  const wire::Resources& task = job.spec.each;
+  const wire::Resources& task = job.spec.taskResources;
   if (team->cpusMax > 0 && usage.cpus + task.vcpus * tasks > team->cpusMax + constants::kResourceRounding)
     return false;
   return !(team->gpusMax > 0 &&
@@ -30,8 +30,8 @@
   const config::Team* team = settings_.team(job.spec.team);
   if (team == nullptr || team->cpusMax <= 0) return tasks;
   const double freeCpus = team->cpusMax - usageOf(job.spec.team).cpus;
-  const double fitting =
-      freeCpus / std::max(job.spec.each.vcpus, constants::kMinCpuDivisor) + constants::kResourceRounding;
+  const double fitting = freeCpus / std::max(job.spec.taskResources.vcpus, constants::kMinCpuDivisor) +
+                         constants::kResourceRounding;
   return std::min(tasks, static_cast<std::uint32_t>(std::max(0.0, fitting)));
 }
 
--- a/src/service/catalog_loader.cpp
+++ b/src/service/catalog_loader.cpp
@@ -12,7 +12,7 @@
   if (context_.catalog || requestInFlight_ || context_.now < retryAt_) return;
   requestInFlight_ = true;
   wire::Call call;
-  call.to = wire::Service::cloud;
+  call.service = wire::Service::cloud;
   call.endpoint = context_.settings.endpoints.cloud;
   call.method = "GET";
   call.path = "/catalog";
@@ -32,11 +32,11 @@
 void CatalogLoader::storeCopy() {
   state::Transaction transaction;
   transaction.writes.push_back({kCatalogKey, wire::encodeCatalog(*context_.catalog), std::nullopt});
-  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::background, transaction, [](const auto&) {});
 }
 
 void CatalogLoader::loadCopy() {
-  context_.state.get(context_.now, state::Urgency::place, kCatalogKey,
+  context_.state.get(context_.now, state::Urgency::placement, kCatalogKey,
                      [this](const wire::CallResult& stored) { onCopy(stored); });
 }
 
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -17,7 +17,7 @@
   const auto controllers = static_cast<double>(settings.siblings.size() + 1);
   const double share =
       std::min(constants::kMaxPollBudgetShare, constants::kTotalPollBudgetShare / controllers);
-  return wire::seconds(1.0 / (settings.state.requestsPerS * share));
+  return wire::seconds(1.0 / (settings.stateLimits.requestsPerS * share));
 }
 
 wire::Result<wire::WorkerHeartbeat> decodeHeartbeatBody(const std::string& body) {
@@ -32,7 +32,7 @@
                        Context::LogSink sink)
     : settings_(settings),
       context_(settings, level, std::move(sink)),
-      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::place, confirmGap(settings),
+      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::placement, confirmGap(settings),
                jobFeedHandlers()),
       leadership_(context_.state, settings, seed, leadershipHandlers()),
       siblings_(context_, leadership_),
@@ -150,7 +150,7 @@
   if (!pendingLeadershipChange_) return;
   const LeadershipChange change = *std::exchange(pendingLeadershipChange_, std::nullopt);
   if (leader_) {
-    for (const std::string& ref : jobs_.open()) jobs_.find(ref)->endTracking();
+    for (const std::string& ref : jobs_.openJobs()) jobs_.find(ref)->endTracking();
     leader_.reset();
   }
   if (change.term == 0) return;
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -28,7 +28,7 @@
                                        const wire::WorkerHeartbeat& heartbeat) const {
   // The worker got commands under this term, or was redirected a moment ago, so it knows the leader and came
   // here all the same.
-  return heartbeat.token >= cluster::fencingToken(leadership_.term(), 0) ||
+  return heartbeat.fencingToken >= cluster::fencingToken(leadership_.term(), 0) ||
          context_.now - route.redirectedAt < constants::kRedirectMemory;
 }
 
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -19,17 +19,17 @@
 }
 
 bool taskFits(const wire::JobSpec& spec, const wire::MachineType& machineType) {
-  return spec.allowsMachineType(machineType.label) && spec.each.fitsIn(machineType.capacity) &&
-         offeredInZone(machineType, spec.zone);
+  return spec.allowsMachineType(machineType.name) && spec.taskResources.fitsIn(machineType.capacity) &&
+         offeredInZone(machineType, spec.requiredZone);
 }
 
 bool exceedsTeamLimit(const wire::JobSpec& spec, const config::Team& team) {
   // The tasks of an array may run one after another.
   const double concurrentTasks = spec.kind == wire::JobKind::array ? 1 : spec.taskCount;
-  const bool cpus =
-      team.cpusMax > 0 && spec.each.vcpus * concurrentTasks > team.cpusMax + constants::kResourceRounding;
-  const bool gpus = team.gpusMax > 0 &&
-                    spec.each.accelerators * concurrentTasks > team.gpusMax + constants::kResourceRounding;
+  const bool cpus = team.cpusMax > 0 &&
+                    spec.taskResources.vcpus * concurrentTasks > team.cpusMax + constants::kResourceRounding;
+  const bool gpus = team.gpusMax > 0 && spec.taskResources.accelerators * concurrentTasks >
+                                            team.gpusMax + constants::kResourceRounding;
   return cpus || gpus;
 }
 
@@ -46,10 +46,10 @@
 }
 
 void dropUnknownMachineTypes(wire::JobSpec& spec, const Catalog& catalog) {
-  if (!spec.machineTypes) return;
-  std::erase_if(*spec.machineTypes, [&catalog](const std::string& label) {
+  if (!spec.allowedMachineTypes) return;
+  std::erase_if(*spec.allowedMachineTypes, [&catalog](const std::string& label) {
     return std::none_of(catalog.begin(), catalog.end(),
-                        [&label](const wire::MachineType& known) { return known.label == label; });
+                        [&label](const wire::MachineType& known) { return known.name == label; });
   });
 }
 
@@ -57,7 +57,7 @@
   jobs::Job job;
   job.spec = spec;
   const auto bytes = static_cast<double>(jobs::encodeOpen(job).dump().size());
-  return bytes <= settings.state.valueKb * kBytesPerKb * constants::kMaxValueFill;
+  return bytes <= settings.stateLimits.maxValueKib * kBytesPerKb * constants::kMaxValueFill;
 }
 
 }  // namespace
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -22,7 +22,7 @@
 void JobApi::query(std::uint64_t request, const std::string& ref) {
   if (!wire::validJobRef(ref)) return replyNoSuchJob(context_, request);
   // A final stage never changes; anything else needs a read that begins after the request came.
-  if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->open())
+  if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->isOpen())
     return context_.reply(request, http::kOk, jobStatus(*job));
   feed_.confirm(context_.now, [this, request, ref](bool confirmed) {
     if (!confirmed) return context_.later(request);
@@ -71,7 +71,7 @@
 
 void JobApi::tryAbort(const Abort& abort) {
   const jobs::Job* job = jobs_.find(abort.ref);
-  if (job != nullptr && !job->open()) return context_.reply(abort.request, http::kOk, jobSummary(*job));
+  if (job != nullptr && !job->isOpen()) return context_.reply(abort.request, http::kOk, jobSummary(*job));
   if (abort.attemptsLeft == 0) return context_.later(abort.request);
   if (job == nullptr) return retryAbort(abort);
   state::Transaction transaction;
@@ -79,7 +79,7 @@
   const Json record = jobs::encodeFinal(*job, jobs::JobPhase::cancelled);
   transaction.writes.push_back({jobs::jobKey(abort.ref), record, std::nullopt});
   context_.state.transact(
-      context_.now, state::Urgency::accept, transaction,
+      context_.now, state::Urgency::acceptance, transaction,
       [this, abort, record](const wire::CallResult& result) { onAbortWritten(abort, record, result); });
 }
 
--- a/src/service/job_progress.cpp
+++ b/src/service/job_progress.cpp
@@ -30,7 +30,7 @@
   latestTerm_ = progress.term;
   for (const peer::JobProgress& received : progress.jobs) {
     jobs::Job* job = jobs_.find(received.ref);
-    if (job == nullptr || !job->open()) continue;
+    if (job == nullptr || !job->isOpen()) continue;
     job->displayedCompleted = received.done;
     job->displayedRunning = received.running;
   }
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -7,7 +7,7 @@
   std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completed;
   std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.running;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
-  if (!job.open()) running = 0;
+  if (!job.isOpen()) running = 0;
   return Json{{"ref", job.spec.ref.text},
               {"stage", wire::name(job.displayedStage())},
               {"done", done},
@@ -24,7 +24,7 @@
 
 void replyExistingJob(Context& context, state::Feed& feed, jobs::JobTable& jobs, std::uint64_t request,
                       const std::string& ref) {
-  if (const jobs::Job* job = jobs.find(ref); job != nullptr && !job->open())
+  if (const jobs::Job* job = jobs.find(ref); job != nullptr && !job->isOpen())
     return context.reply(request, http::kOk, jobSummary(*job));
   feed.confirm(context.now, [&context, &jobs, request, ref](bool confirmed) {
     const jobs::Job* job = jobs.find(ref);
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -76,7 +76,7 @@
   context_.event(Level::info, "leader_ready",
                  {{"term", state_.term},
                   {"machines", state_.machines.all().size()},
-                  {"open_jobs", state_.jobs.open().size()},
+                  {"open_jobs", state_.jobs.openJobs().size()},
                   {"load_ms", loadTime.count()}});
 }
 
@@ -119,7 +119,7 @@
   peer::Progress out;
   out.term = state_.term;
   if (phase_ != Phase::acting) return out;
-  for (const std::string& ref : state_.jobs.open()) {
+  for (const std::string& ref : state_.jobs.openJobs()) {
     const jobs::Job& job = *state_.jobs.find(ref);
     const TaskCounts counts{job.completed, job.running};
     TaskCounts& published = publishedCounts_[ref];
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -21,7 +21,7 @@
 void AttemptTracker::applyStatus(Machine& machine, Attempt& attempt, const wire::TaskStatus& status) {
   attempt.incarnation = machine.incarnation;
   switch (status.state) {
-    case wire::TaskState::unfamiliar:
+    case wire::TaskState::unrecognized:
       // A state of a later protocol version: whatever it means, the task is on the machine.
       if (!std::exchange(unfamiliarStateLogged_, true))
         context_.event(Level::info, "unknown_state",
@@ -33,8 +33,8 @@
       return setPhase(attempt, AttemptPhase::pulling);
     case wire::TaskState::running:
       return applyRunning(machine, attempt);
-    case wire::TaskState::saving:
-      return setPhase(attempt, AttemptPhase::saving);
+    case wire::TaskState::checkpointing:
+      return setPhase(attempt, AttemptPhase::checkpointing);
     case wire::TaskState::ended:
       return applyEnded(machine, attempt, status.cause);
   }
@@ -47,9 +47,9 @@
                     {"machine", machine.host.text},
                     {"after_s", wire::toSeconds(context_.now - attempt.placedAt)}});
   setPhase(attempt, AttemptPhase::running);
-  if (!attempt.image.empty()) machine.recordImage(attempt.image, attempt.sizeGb);
-  if (!attempt.gang) return;
-  if (jobs::Job* job = state_.jobs.find(attempt.task.job.text); job != nullptr && job->open())
+  if (!attempt.image.empty()) machine.recordImage(attempt.image, attempt.imageSizeGb);
+  if (!attempt.isGangMember) return;
+  if (jobs::Job* job = state_.jobs.find(attempt.task.job.text); job != nullptr && job->isOpen())
     gangs_.onTaskRunning(*job);
 }
 
@@ -61,7 +61,7 @@
   attempt.cause = cause;
   if (!wasPlaced) return;
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-  const bool known = job != nullptr && job->open() && attempt.task.index < job->tasks.size();
+  const bool known = job != nullptr && job->isOpen() && attempt.task.index < job->tasks.size();
   if (cause == wire::Cause::done && !attempt.isService) {
     machine.faults.clear();
     if (known) complete(attempt.task);
@@ -96,7 +96,7 @@
   state_.requestPlacementRound();
   if (wasEnded) return;  // its task was handled when the attempt ended
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-  if (job == nullptr || !job->open() || attempt.task.index >= job->tasks.size()) return;
+  if (job == nullptr || !job->isOpen() || attempt.task.index >= job->tasks.size()) return;
   context_.event(Level::info, "attempt_freed",
                  {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
   unassign(*job, attempt.task);
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -92,7 +92,7 @@
   const std::set<std::string> gangs = std::exchange(waitingGangs_[pool], {});
   if (refused > 0) {
     for (const std::string& ref : gangs)
-      if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open())
+      if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
         job->gang.scaleOutFellShort(context_.now);
     refusedUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
@@ -115,7 +115,7 @@
                                 failover_.servicesAtRisk(),
                                 boots_.history()};
   std::erase_if(snapshot.unplaced,
-                [](const placement::UnplacedDemand& demand) { return !demand.job->open(); });
+                [](const placement::UnplacedDemand& demand) { return !demand.job->isOpen(); });
   std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const auto& [pool, until] : refusedUntil_) snapshot.refusedPools.insert(pool);
   return snapshot;
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -15,7 +15,7 @@
 double BootMonitor::nominalBootS(const Machine& machine) const {
   if (!context_.catalog) return 0;
   for (const wire::MachineType& machineType : *context_.catalog)
-    if (machineType.label == machine.machineType) return machineType.bootS;
+    if (machineType.name == machine.machineType) return machineType.nominalBootTimeS;
   return 0;
 }
 
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -36,15 +36,15 @@
 
 bool CompletionRecords::isDurable(const wire::TaskId& task) const {
   const jobs::Job* job = jobs_.find(task.job.text);
-  if (job == nullptr || !job->open()) return true;
+  if (job == nullptr || !job->isOpen()) return true;
   const std::uint32_t chunk = task.index / constants::kTasksPerDoneChunk;
   return !job->dirtyChunks.contains(chunk) && !chunksInFlight_.contains({task.job.text, chunk}) &&
-         !job->finished();
+         !job->isFinished();
 }
 
 void CompletionRecords::markDirty(const std::string& ref) {
   const jobs::Job& job = *jobs_.find(ref);
-  if (job.finished()) {
+  if (job.isFinished()) {
     finishedJobs_.insert(ref);
   } else if (dirtyJobs_.insert(ref).second) {
     dirtyQueue_.push_back(ref);
@@ -63,7 +63,7 @@
   state::Transaction transaction;
   std::vector<std::string> refs;
   for (const std::string& ref : finishedJobs_) {
-    if (refs.size() >= context_.settings.state.opsPerTransaction) break;
+    if (refs.size() >= context_.settings.stateLimits.opsPerTransaction) break;
     const jobs::Job* job = jobs_.find(ref);
     transaction.conditions.push_back({jobs::jobKey(ref), job->revision});
     transaction.writes.push_back(
@@ -73,7 +73,7 @@
   for (const std::string& ref : refs) finishedJobs_.erase(ref);
   addPartitionConditions(transaction);
   finalPhaseWriter_.commit(
-      context_.now, state::Urgency::place, std::move(transaction),
+      context_.now, state::Urgency::placement, std::move(transaction),
       [this, refs](const state::Outcome& outcome) { onFinalPhasesWritten(refs, outcome); });
 }
 
@@ -81,7 +81,7 @@
                                              const state::Outcome& outcome) {
   if (outcome.verdict == state::Verdict::refused) {
     for (const std::string& ref : refs)
-      if (const jobs::Job* job = jobs_.find(ref); job != nullptr && job->open()) finishedJobs_.insert(ref);
+      if (const jobs::Job* job = jobs_.find(ref); job != nullptr && job->isOpen()) finishedJobs_.insert(ref);
     return state_.onTransactionRefused(outcome, "finals");
   }
   for (const std::string& ref : refs) {
@@ -110,17 +110,17 @@
   for (const ChunkId& id : chunks) addChunk(transaction, id);
   addPartitionConditions(transaction);
   progressWriter_.commit(
-      context_.now, state::Urgency::complete, std::move(transaction),
+      context_.now, state::Urgency::completion, std::move(transaction),
       [this, chunks](const state::Outcome& outcome) { onProgressWritten(chunks, outcome); });
 }
 
 std::vector<CompletionRecords::ChunkId> CompletionRecords::takeDirtyChunks() {
   std::vector<ChunkId> chunks;
   // Longest dirty first, so that none starves when there is more than the transactions carry.
-  while (!dirtyQueue_.empty() && chunks.size() < context_.settings.state.opsPerTransaction) {
+  while (!dirtyQueue_.empty() && chunks.size() < context_.settings.stateLimits.opsPerTransaction) {
     const std::string ref = dirtyQueue_.front();
     jobs::Job* job = jobs_.find(ref);
-    if (!dirtyJobs_.contains(ref) || job == nullptr || !job->open() || job->finished() ||
+    if (!dirtyJobs_.contains(ref) || job == nullptr || !job->isOpen() || job->isFinished() ||
         job->dirtyChunks.empty()) {
       dirtyJobs_.erase(ref);
       dirtyQueue_.pop_front();
@@ -147,7 +147,7 @@
   const bool applied = outcome.verdict == state::Verdict::applied;
   for (const auto& [ref, chunk] : chunks) {
     jobs::Job* job = jobs_.find(ref);
-    const bool open = job != nullptr && job->open();
+    const bool open = job != nullptr && job->isOpen();
     if (applied && open) {
       job->doneRevisions[chunk] = outcome.revision;
     } else if (applied) {
@@ -168,12 +168,12 @@
   state::Transaction transaction;
   std::vector<std::string> keys;
   for (const std::string& key : obsoleteKeys_) {
-    if (keys.size() >= context_.settings.state.opsPerTransaction) break;
+    if (keys.size() >= context_.settings.stateLimits.opsPerTransaction) break;
     transaction.writes.push_back({key, std::nullopt, std::nullopt});
     keys.push_back(key);
   }
   transaction.conditions = state_.partitionConditions();
-  cleaner_.commit(context_.now, state::Urgency::rest, std::move(transaction),
+  cleaner_.commit(context_.now, state::Urgency::background, std::move(transaction),
                   [this, keys](const state::Outcome& outcome) { onCleaned(keys, outcome); });
 }
 
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -31,7 +31,7 @@
   std::map<std::string, std::set<std::uint32_t>> tasksOfLatest;  // by job
   for (auto& [host, machine] : state_.machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
-      jobs::Job* job = attempt.gang ? state_.jobs.find(attempt.task.job.text) : nullptr;
+      jobs::Job* job = attempt.isGangMember ? state_.jobs.find(attempt.task.job.text) : nullptr;
       if (job == nullptr || attempt.number < job->gang.attemptNumber) continue;
       if (attempt.number > job->gang.attemptNumber) tasksOfLatest[attempt.task.job.text].clear();
       job->gang.attemptNumber = attempt.number;
@@ -56,7 +56,7 @@
 
 bool GangCoordinator::mayStart(const Attempt& attempt) {
   const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-  return job != nullptr && job->open() && job->gang.attemptNumber == attempt.number &&
+  return job != nullptr && job->isOpen() && job->gang.attemptNumber == attempt.number &&
          job->gang.state == GangState::gathering;
 }
 
@@ -86,7 +86,7 @@
 }
 
 void GangCoordinator::onTaskLost(jobs::Job& job, const Attempt& attempt, const char* why) {
-  if (!job.isGang() || !job.open() || attempt.number != job.gang.attemptNumber) return;
+  if (!job.isGang() || !job.isOpen() || attempt.number != job.gang.attemptNumber) return;
   if (!attemptInProgress(job)) return;
   setState(job, GangState::clearing, why);
   ++job.gang.consecutiveFailures;
@@ -107,24 +107,25 @@
   state_.requestPlacementRound();
 }
 
-void GangCoordinator::stop(Machine& machine, Attempt& attempt, double graceS, double leftS, const char* why) {
-  if (attempt.gang) {
+void GangCoordinator::stop(Machine& machine, Attempt& attempt, double gracePeriodS, double leftS,
+                           const char* why) {
+  if (attempt.isGangMember) {
     stopGang(attempt.task.job.text, leftS, why);
   } else {
-    commands_.stop(machine, attempt, graceS);
+    commands_.stop(machine, attempt, gracePeriodS);
   }
 }
 
 void GangCoordinator::stopGang(const std::string& ref, double leftS, const char* why) {
   jobs::Job* job = state_.jobs.find(ref);
-  if (job == nullptr || !job->open() || !job->isGang()) return;
+  if (job == nullptr || !job->isOpen() || !job->isGang()) return;
   if (!attemptInProgress(*job)) return;
-  const double graceS = job->spec.checkpointS + constants::kCheckpointGraceMarginS;
+  const double gracePeriodS = job->spec.checkpointDurationS + constants::kCheckpointGraceMarginS;
   const bool saves =
-      job->gang.state == GangState::running && job->spec.checkpointEveryS > 0 && graceS < leftS;
+      job->gang.state == GangState::running && job->spec.checkpointIntervalS > 0 && gracePeriodS < leftS;
   setState(*job, GangState::stopping, why);
   state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-    if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? graceS : 0);
+    if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? gracePeriodS : 0);
   });
 }
 
--- a/src/service/leader/gang_coordinator.hpp
+++ b/src/service/leader/gang_coordinator.hpp
@@ -38,9 +38,9 @@
   // tasks whose machines have been lost meanwhile.
   void complete(jobs::Job& job);
 
-  // Stops the attempt, or all tasks of its gang at once. `graceS`: time to checkpoint for a single task;
-  // `leftS`: time that the gang has left for its checkpoint. Both in seconds.
-  void stop(Machine& machine, Attempt& attempt, double graceS, double leftS, const char* why);
+  // Stops the attempt, or all tasks of its gang at once. `gracePeriodS`: time to checkpoint for a single
+  // task; `leftS`: time that the gang has left for its checkpoint. Both in seconds.
+  void stop(Machine& machine, Attempt& attempt, double gracePeriodS, double leftS, const char* why);
 
  private:
   void setState(jobs::Job& job, jobs::GangState next, const char* why);
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -42,7 +42,7 @@
 bool HeartbeatProcessor::mayAnswer(const wire::WorkerHeartbeat& heartbeat) const {
   // A worker that has seen a later term drops this leader's answers, and a 200 would only keep it here until
   // its lease has expired.
-  if (heartbeat.token >= cluster::fencingToken(state_.term + 1, 0)) return false;
+  if (heartbeat.fencingToken >= cluster::fencingToken(state_.term + 1, 0)) return false;
   // A released host is gone: this is a delayed heartbeat, and must not add the machine again.
   return !inventory_.recentlyReleased(heartbeat.host.text);
 }
@@ -113,7 +113,7 @@
 }
 
 void HeartbeatProcessor::applyFencingToken(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
-  machine.workerToken = std::max(machine.workerToken, heartbeat.token);
+  machine.workerToken = std::max(machine.workerToken, heartbeat.fencingToken);
   commands_.noteAcknowledgedToken(machine);
   for (Attempt& attempt : machine.attempts) {
     // Once the worker has seen a higher token, it answers the old command with 409 only.
@@ -123,10 +123,10 @@
 }
 
 void HeartbeatProcessor::applySpotNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
-  if (!heartbeat.spotNoticeS || machine.spotNoticeAt) return;
-  machine.spotNoticeAt = context_.now + wire::seconds(*heartbeat.spotNoticeS);
+  if (!heartbeat.timeUntilReclaimS || machine.spotNoticeAt) return;
+  machine.spotNoticeAt = context_.now + wire::seconds(*heartbeat.timeUntilReclaimS);
   context_.event(Level::info, "spot_notice",
-                 {{"machine", machine.host.text}, {"in_s", *heartbeat.spotNoticeS}});
+                 {{"machine", machine.host.text}, {"in_s", *heartbeat.timeUntilReclaimS}});
   lifecycle_.evictForSpotNotice(machine);
 }
 
@@ -150,7 +150,7 @@
 void HeartbeatProcessor::reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   // Under a new term a heartbeat proves absence only once the worker has seen this leader's token: before
   // that it may be a delayed copy of one that an earlier leader got.
-  if (heartbeat.token < cluster::fencingToken(state_.term, 0)) return;
+  if (heartbeat.fencingToken < cluster::fencingToken(state_.term, 0)) return;
   for (Attempt& attempt : machine.attempts) {
     const bool present =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -42,9 +42,9 @@
 void InstanceInventory::onListed(const std::vector<wire::InstanceEntry>& hosts) {
   std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const wire::InstanceEntry& entry : hosts) {
-    Machine* machine = state_.machines.find(entry.ref.text);
+    Machine* machine = state_.machines.find(entry.host.text);
     if (machine == nullptr) {
-      if (recentlyReleased(entry.ref.text)) continue;
+      if (recentlyReleased(entry.host.text)) continue;
       machine = &addListed(entry);
     }
     reconcile(*machine, entry);
@@ -52,7 +52,7 @@
 }
 
 Machine& InstanceInventory::addListed(const wire::InstanceEntry& entry) {
-  Machine& machine = state_.machines.add(entry.ref.text);
+  Machine& machine = state_.machines.add(entry.host.text);
   machine.machineType = entry.machineType;
   machine.zone = entry.zone;
   machine.spot = entry.spot;
@@ -72,14 +72,14 @@
   if (machine.endpoint.empty()) machine.endpoint = entry.endpoint;
   if (entry.state == wire::InstanceState::failed && machine.phase != MachinePhase::terminating &&
       machine.phase != MachinePhase::terminated) {
-    context_.event(Level::info, "machine_failed", {{"machine", entry.ref.text}});
+    context_.event(Level::info, "machine_failed", {{"machine", entry.host.text}});
     attempts_.releaseAll(machine, "machine failed");
     lifecycle_.decommission(machine, "failed");
   } else if (machine.phase == MachinePhase::booting && entry.state == wire::InstanceState::running) {
     // Counted from the first list that said it runs: a machine that came up late has only just begun to send
     // heartbeats.
     if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
-    const double lagS = 2 * context_.settings.cloud.listLagS;
+    const double lagS = 2 * context_.settings.cloudLimits.listLagS;
     const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.listeningSince());
     if (wire::toSeconds(unheardFor) >
         lagS + kListedSilentHeartbeats * context_.settings.workers.heartbeatIntervalS)
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -19,10 +19,10 @@
 void MachineLifecycle::applyMachineType(Machine& machine) const {
   if (!context_.catalog) return;
   for (const wire::MachineType& machineType : *context_.catalog) {
-    if (machineType.label != machine.machineType) continue;
+    if (machineType.name != machine.machineType) continue;
     machine.total = machineType.capacity;
-    machine.cacheGb = machineType.cacheGb;
-    machine.pullGbPerS = machineType.pullGbPerS;
+    machine.imageCacheGb = machineType.imageCacheGb;
+    machine.imagePullGbPerS = machineType.imagePullGbPerS;
   }
 }
 
@@ -49,10 +49,10 @@
   for (Attempt& attempt : machine.attempts) {
     if (!attempt.holdsCapacity() || attempt.phase == AttemptPhase::planned) continue;
     const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-    const double expectS = job != nullptr ? job->spec.expectS : 0;
+    const double expectedRunTimeS = job != nullptr ? job->spec.expectedRunTimeS : 0;
     const bool running = attempt.phase == AttemptPhase::running;
     const double ranS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
-    const bool endsInTime = !attempt.isService && running && expectS - ranS < leftS;
+    const bool endsInTime = !attempt.isService && running && expectedRunTimeS - ranS < leftS;
     if (endsInTime) continue;
     gangs_.stop(machine, attempt, attempt.stopGraceS(), leftS, "spot notice");
   }
@@ -93,7 +93,7 @@
   transaction.conditions.push_back({kDecommissioningKey, revision_});
   transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(names)}}, std::nullopt});
   committer_.commit(
-      context_.now, state::Urgency::place, std::move(transaction),
+      context_.now, state::Urgency::placement, std::move(transaction),
       [this, added](const state::Outcome& outcome) { onDecommissioningWritten(added, outcome); });
 }
 
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -39,7 +39,7 @@
 // --- decisions ---------------------------------------------------------------------------------------------
 
 placement::SchedulingInput PlacementScheduler::schedulingInput() {
-  const std::size_t ops = context_.settings.state.opsPerTransaction;
+  const std::size_t ops = context_.settings.stateLimits.opsPerTransaction;
   placement::SchedulingInput input{context_.settings,
                                    context_.now,
                                    context_.wallMs,
@@ -47,7 +47,7 @@
                                    {},
                                    {},
                                    4 * ops - constants::kMaxBatchesPerRound - state_.partitionCount()};
-  for (const std::string& ref : state_.jobs.open()) {
+  for (const std::string& ref : state_.jobs.openJobs()) {
     jobs::Job* job = state_.jobs.find(ref);
     input.openJobs.push_back(job);
     if (job->waiting > 0) input.waitingJobs.push_back(job);
@@ -79,7 +79,7 @@
     Attempt* attempt = stop.machine->find(stop.task, stop.attempt);
     if (attempt == nullptr) continue;
     context_.event(Level::info, "preempt", {{"task", stop.task.str()}, {"machine", stop.machine->host.text}});
-    gangs_.stop(*stop.machine, *attempt, stop.graceS, constants::kUnlimitedStopTimeS, "preempted");
+    gangs_.stop(*stop.machine, *attempt, stop.gracePeriodS, constants::kUnlimitedStopTimeS, "preempted");
   }
 }
 
@@ -189,7 +189,7 @@
   for (const std::string& ref : round.jobs)
     transaction.conditions.push_back({jobs::jobKey(ref), state_.jobs.find(ref)->revision});
   for (auto& condition : state_.partitionConditions()) transaction.conditions.push_back(std::move(condition));
-  committer_.commit(context_.now, state::Urgency::place, std::move(transaction),
+  committer_.commit(context_.now, state::Urgency::placement, std::move(transaction),
                     [this, hosts = round.hosts, hostsByBatch](const state::Outcome& outcome) {
                       onCommitted(hosts, hostsByBatch, outcome);
                     });
@@ -206,7 +206,7 @@
     if (Machine* machine = state_.machines.find(host); machine != nullptr)
       applyOutcome(*machine, batches, applied, gangs);
   for (const std::string& ref : gangs)
-    if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open()) gangs_.onTasksRecorded(*job);
+    if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen()) gangs_.onTasksRecorded(*job);
   if (!applied) state_.onTransactionRefused(outcome, "placements");
 }
 
@@ -219,7 +219,7 @@
       machine.transactionInFlight = true;  // a gang task whose placement goes with the next transaction
       continue;
     }
-    if (attempt.gang) gangs.insert(attempt.task.job.text);
+    if (attempt.isGangMember) gangs.insert(attempt.task.job.text);
     // Stopped meanwhile, or on a machine that is given up: it was never started, so it is free.
     const bool wanted = !attempt.stopRequested && machine.phase == MachinePhase::up;
     if (!applied || !wanted) {
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -36,7 +36,7 @@
   std::vector<Machine*> machines;
   for (auto& [host, machine] : state_.machines.all()) machines.push_back(&machine);
   std::vector<const jobs::Job*> open;
-  for (const std::string& ref : state_.jobs.open()) open.push_back(state_.jobs.find(ref));
+  for (const std::string& ref : state_.jobs.openJobs()) open.push_back(state_.jobs.find(ref));
   const shares::Table& table = *context_.shares;
   const shares::UsageSnapshot usage = shares::takeUsageSnapshot(
       table, context_.settings, machines, open, placement::ranksAboveShares(context_.settings, open));
@@ -63,7 +63,7 @@
   transaction.conditions = state_.partitionConditions();
   transaction.writes.push_back({shares::kStatusKey, current, std::nullopt});
   writtenStatus_ = std::move(current);
-  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::background, transaction, [](const auto&) {});
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -38,7 +38,7 @@
   }
   for (const placement::UnplacedDemand& unmet : scheduler_.unplaced())
     if (unmet.job->spec.priority >= wire::Priority::high)
-      capacity -= unmet.job->spec.each.vcpus * unmet.tasks;
+      capacity -= unmet.job->spec.taskResources.vcpus * unmet.tasks;
   return capacity;
 }
 
@@ -69,7 +69,7 @@
   }
   std::vector<placement::UnplacedDemand> out;
   for (const auto& [ref, tasks] : tasksByJob)
-    if (const jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->open())
+    if (const jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
       out.push_back(placement::UnplacedDemand{job, tasks});
   return out;
 }
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -10,7 +10,7 @@
 
 void SizingStateStore::load() {
   nextSave_ = context_.now + constants::kSizingStateSaveInterval;
-  context_.state.get(context_.now, state::Urgency::complete, kSizingStateKey,
+  context_.state.get(context_.now, state::Urgency::completion, kSizingStateKey,
                      guard_.wrap([this](const wire::CallResult& result) {
                        if (!result.ok()) return;
                        const Json* value = wire::field(result.body, "value");
@@ -25,7 +25,7 @@
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
   transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
-  context_.state.transact(context_.now, state::Urgency::rest, transaction, [](const auto&) {});
+  context_.state.transact(context_.now, state::Urgency::background, transaction, [](const auto&) {});
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -205,7 +205,7 @@
 }
 
 void StateLoader::apply() {
-  for (const std::string& ref : state_.jobs.open()) state_.jobs.find(ref)->beginTracking(context_.now);
+  for (const std::string& ref : state_.jobs.openJobs()) state_.jobs.find(ref)->beginTracking(context_.now);
   applyCompletions();
   applyDecommissioning();
   applyMachines();
@@ -215,15 +215,15 @@
 void StateLoader::applyCompletions() {
   for (const CompletionChunk& record : completionChunks_) {
     jobs::Job* job = state_.jobs.find(record.ref);
-    if (job == nullptr || !job->open()) {
+    if (job == nullptr || !job->isOpen()) {
       records_.deleteLater(jobs::doneKey(record.ref, record.chunk));
     } else if (!job->loadDoneChunk(record.chunk, record.hex, record.revision, context_.now)) {
       context_.event(Level::error, "bad_record", {{"key", jobs::doneKey(record.ref, record.chunk)}});
     }
   }
   completionChunks_.clear();
-  for (const std::string& ref : state_.jobs.open())
-    if (state_.jobs.find(ref)->finished()) records_.jobFinished(ref);
+  for (const std::string& ref : state_.jobs.openJobs())
+    if (state_.jobs.find(ref)->isFinished()) records_.jobFinished(ref);
 }
 
 void StateLoader::applyDecommissioning() {
@@ -247,7 +247,7 @@
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   // Also when the job has ended since: until it is proven gone, the attempt counts for its team.
   if (job != nullptr) setResourceFields(attempt, job->spec);
-  if (job == nullptr || !job->open() || attempt.task.index >= job->spec.taskCount) {
+  if (job == nullptr || !job->isOpen() || attempt.task.index >= job->spec.taskCount) {
     attempt.stopRequested = true;
     return;
   }
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -6,7 +6,7 @@
   const std::string& ref = attempt.task.job.text;
   context_.event(Level::info, "task_failed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   jobs::Job* job = state_.jobs.find(ref);
-  if (job == nullptr || !job->open()) return;
+  if (job == nullptr || !job->isOpen()) return;
   const bool ran = attempt.runningSince != Time{};
   job->failures.recordFailure(machine.host.text,
                               ran ? context_.now - attempt.runningSince : wire::Duration{});
@@ -32,7 +32,7 @@
 void TaskFailurePolicy::reviewFaultyJobs() {
   for (auto at = faultyJobs_.begin(); at != faultyJobs_.end();) {
     jobs::Job* job = state_.jobs.find(*at);
-    const bool ended = job == nullptr || !job->open();
+    const bool ended = job == nullptr || !job->isOpen();
     if (!ended && job->failures.jobAtFault() && !succeedsElsewhere(*at, std::nullopt)) {
       ++at;
       continue;
@@ -48,7 +48,7 @@
 bool TaskFailurePolicy::succeedsElsewhere(
     const std::string& ref, std::optional<std::reference_wrapper<const Machine>> excluded) const {
   const jobs::Job* job = state_.jobs.find(ref);
-  if (job != nullptr && job->open() && job->completed > 0) return true;
+  if (job != nullptr && job->isOpen() && job->completed > 0) return true;
   // Each task of a faulty job may run for a while before it fails.
   const auto longEnough =
       constants::kHealthyRunTime + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
@@ -56,7 +56,7 @@
     if (excluded && &excluded->get() == &machine) continue;
     for (const Attempt& attempt : machine.attempts) {
       // Tasks of a gang run together with the one that failed: that they ran proves nothing.
-      if (attempt.task.job.text != ref || attempt.gang) continue;
+      if (attempt.task.job.text != ref || attempt.isGangMember) continue;
       if (attempt.phase == AttemptPhase::ended && attempt.cause == wire::Cause::done) return true;
       if (attempt.isExecuting() && context_.now - attempt.phaseSince > longEnough) return true;
     }
@@ -73,7 +73,7 @@
       return lifecycle_.drain(machine, "quarantined");
     }
     const jobs::Job* job = state_.jobs.find(ref);
-    if (job != nullptr && job->open() && job->failures.failedMachineCount() < 2) allJobsFaulty = false;
+    if (job != nullptr && job->isOpen() && job->failures.failedMachineCount() < 2) allJobsFaulty = false;
   }
   if (allJobsFaulty) machine.faults.clear();
 }
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -6,20 +6,20 @@
 namespace reachhoist::service {
 
 namespace {
-wire::Command makeCommand(wire::CommandVerb verb, const Attempt& attempt, double graceS = 0) {
-  return wire::Command{verb, attempt.task, attempt.number, graceS};
+wire::Command makeCommand(wire::CommandVerb verb, const Attempt& attempt, double gracePeriodS = 0) {
+  return wire::Command{verb, attempt.task, attempt.number, gracePeriodS};
 }
 }  // namespace
 
-void WorkerCommands::stop(Machine& machine, Attempt& attempt, double graceS) {
+void WorkerCommands::stop(Machine& machine, Attempt& attempt, double gracePeriodS) {
   if (attempt.phase == AttemptPhase::planned || attempt.phase == AttemptPhase::ended) {
     attempt.stopRequested = true;
     return;
   }
-  const bool lessGrace = attempt.stopRequested && graceS < attempt.graceS;
+  const bool lessGrace = attempt.stopRequested && gracePeriodS < attempt.gracePeriodS;
   if (attempt.stopRequested && !lessGrace) return;
   attempt.stopRequested = true;
-  attempt.graceS = graceS;
+  attempt.gracePeriodS = gracePeriodS;
   attempt.stopSent = false;
   markDue(machine);
 }
@@ -78,7 +78,7 @@
       return startOrStopRecorded(attempt, via, sequence);
     case AttemptPhase::pulling:
     case AttemptPhase::running:
-    case AttemptPhase::saving:
+    case AttemptPhase::checkpointing:
       return stopOnMachine(attempt, via);
     case AttemptPhase::ended:
       return forgetEnded(attempt);
@@ -93,7 +93,7 @@
   if (attempt.inherited) return std::nullopt;
   // Without the leader lease another controller may have confirmed the job's cancellation meanwhile.
   if (attempt.directCommandsInFlight != 0 || !state_.holdsLeaderLease()) return std::nullopt;
-  if (attempt.gang && !hooks_.mayStartGang(attempt)) return std::nullopt;
+  if (attempt.isGangMember && !hooks_.mayStartGang(attempt)) return std::nullopt;
   if (via != HeartbeatSource::direct && attempt.startSentInSequence == 0)
     attempt.startSentInSequence = sequence;
   return makeCommand(wire::CommandVerb::start, attempt);
@@ -102,9 +102,9 @@
 std::optional<wire::Command> WorkerCommands::stopOnMachine(Attempt& attempt, HeartbeatSource via) {
   if (!attempt.stopRequested) return std::nullopt;
   if (attempt.stopSent && via == HeartbeatSource::direct) return std::nullopt;
-  if (attempt.phase == AttemptPhase::saving && attempt.graceS > 0) return std::nullopt;
+  if (attempt.phase == AttemptPhase::checkpointing && attempt.gracePeriodS > 0) return std::nullopt;
   attempt.stopSent = true;
-  return makeCommand(wire::CommandVerb::stop, attempt, attempt.graceS);
+  return makeCommand(wire::CommandVerb::stop, attempt, attempt.gracePeriodS);
 }
 
 std::optional<wire::Command> WorkerCommands::forgetEnded(const Attempt& attempt) {
@@ -155,7 +155,7 @@
   machine.directCommands.inFlight = true;
   callBegins();
   wire::Call call;
-  call.to = wire::Service::worker;
+  call.service = wire::Service::worker;
   call.endpoint = machine.endpoint;
   call.method = "POST";
   call.path = "/commands";
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -40,8 +40,8 @@
   std::uint64_t fencingTokenOf(const Machine& machine) const {
     return cluster::fencingToken(state_.term, machine.fencingSequence);
   }
-  // Stops the attempt, with `graceS` seconds for a checkpoint. A second time only with less grace.
-  void stop(Machine& machine, Attempt& attempt, double graceS);
+  // Stops the attempt, with `gracePeriodS` seconds for a checkpoint. A second time only with less grace.
+  void stop(Machine& machine, Attempt& attempt, double gracePeriodS);
   // A direct call should carry what is due on the machine.
   void markDue(Machine& machine);
   // Makes all commands under the machine's present token void.
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -51,7 +51,7 @@
 void WorkerProber::probe(Machine& machine) {
   commands_.callBegins();
   wire::Call call;
-  call.to = wire::Service::worker;
+  call.service = wire::Service::worker;
   call.endpoint = machine.endpoint;
   call.method = "GET";
   call.path = "/inspect";
--- a/src/service/shares.cpp
+++ b/src/service/shares.cpp
@@ -60,7 +60,7 @@
   transaction.conditions.push_back({shares::kTableKey, revision_});
   transaction.writes.push_back({shares::kTableKey, shares::encode(configured_), std::nullopt});
   // The watch shows whether it was applied.
-  context_.state.transact(context_.now, state::Urgency::rest, transaction,
+  context_.state.transact(context_.now, state::Urgency::background, transaction,
                           guard_.wrap([this](const wire::CallResult&) { writing_ = false; }));
 }
 
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -49,7 +49,7 @@
       onResult(jobs, result);
       send();
     };
-    context_.state.transact(context_.now, state::Urgency::accept, batch.transaction, std::move(done));
+    context_.state.transact(context_.now, state::Urgency::acceptance, batch.transaction, std::move(done));
   }
 }
 
@@ -73,7 +73,7 @@
 }
 
 bool SubmissionQueue::hasSpace(const Batch& batch) const {
-  return batch.transaction.writes.size() < context_.settings.state.opsPerTransaction &&
+  return batch.transaction.writes.size() < context_.settings.stateLimits.opsPerTransaction &&
          batch.bytes < kMaxBatchBytes;
 }
 
@@ -85,7 +85,7 @@
   constexpr std::size_t kWritesWithGang = 2;  // the layout and the gang itself
   const auto layout = leadership_.raiseLayout();
   if (!layout ||
-      batch.transaction.writes.size() + kWritesWithGang > context_.settings.state.opsPerTransaction)
+      batch.transaction.writes.size() + kWritesWithGang > context_.settings.stateLimits.opsPerTransaction)
     return false;
   batch.transaction.conditions.push_back(layout->condition);
   batch.transaction.writes.push_back(layout->write);
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -28,7 +28,7 @@
   const double placeS = move.placedPerS > 0 ? static_cast<double>(move.tasks) / move.placedPerS
                                             : wire::toSeconds(constants::kStateCallTimeout);
   // The start of the next task is commanded in the same way.
-  return reclaimS + commandS + move.graceS + placeS + commandS + move.fetchS;
+  return reclaimS + commandS + move.gracePeriodS + placeS + commandS + move.fetchS;
 }
 
 double convergenceBoundReports(const config::Settings& settings, const Move& move) {
--- a/src/shares/convergence.hpp
+++ b/src/shares/convergence.hpp
@@ -7,11 +7,11 @@
 
 // The shift of capacity that a change of the table causes.
 struct Move {
-  double share = 0;       // of the capacity that moves from one group to another
-  std::size_t tasks = 0;  // that have to be placed again
-  double graceS = 0;      // longest checkpoint of a preempted task
-  double fetchS = 0;      // longest pull of an image
-  double placedPerS = 0;  // placements per second that the key-value store's request budget allows
+  double share = 0;         // of the capacity that moves from one group to another
+  std::size_t tasks = 0;    // that have to be placed again
+  double gracePeriodS = 0;  // longest checkpoint of a preempted task
+  double fetchS = 0;        // longest pull of an image
+  double placedPerS = 0;    // placements per second that the key-value store's request budget allows
 };
 
 // The longest time between two heartbeats of a worker, in seconds.
--- a/src/shares/share_account.cpp
+++ b/src/shares/share_account.cpp
@@ -16,7 +16,7 @@
 
 Resources unitOf(const jobs::Job& job) {
   const double tasks = job.isGang() ? job.spec.taskCount : 1;
-  const Resources& each = job.spec.each;
+  const Resources& each = job.spec.taskResources;
   return Resources{each.vcpus * tasks, each.accelerators * tasks, each.memoryGb * tasks};
 }
 
@@ -52,7 +52,8 @@
   const auto found = usage_.jobs.find(job.spec.ref.text);
   if (found == usage_.jobs.end()) return;
   found->second.placed += tasks;
-  for (std::uint32_t i = 0; i < tasks; ++i) usage_.loads[found->second.group].running += job.spec.each;
+  for (std::uint32_t i = 0; i < tasks; ++i)
+    usage_.loads[found->second.group].running += job.spec.taskResources;
 }
 
 bool ShareAccount::mayClaim(const jobs::Job& job) const {
@@ -77,7 +78,7 @@
 }
 
 Resources ShareAccount::unitOf(const machines::Attempt& attempt) const {
-  if (!attempt.gang) return attempt.resources;
+  if (!attempt.isGangMember) return attempt.resources;
   const JobStanding* standing = usage_.find(attempt.task.job.text);
   const double tasks = standing == nullptr ? 1 : standing->placed;
   return Resources{attempt.resources.vcpus * tasks, attempt.resources.accelerators * tasks,
@@ -107,15 +108,15 @@
 void ShareAccount::ReclaimTrial::reclaim(const machines::Attempt& attempt) {
   if (const JobStanding* standing = shareAccount_.findGoverned(attempt.task.job.text); standing != nullptr)
     reclaimedAttempts_.push_back(ReclaimedAttempt{attempt.task.job.text, attempt.number, standing->group,
-                                                  attempt.gang, shareAccount_.unitOf(attempt)});
+                                                  attempt.isGangMember, shareAccount_.unitOf(attempt)});
 }
 
 void ShareAccount::release(const machines::Attempt& attempt) {
   const auto found = usage_.jobs.find(attempt.task.job.text);
   if (found == usage_.jobs.end()) return;
-  if (attempt.gang && !stoppedGangs_.insert(attempt.number).second) return;
+  if (attempt.isGangMember && !stoppedGangs_.insert(attempt.number).second) return;
   usage_.loads[found->second.group].running -= unitOf(attempt);
-  found->second.placed = attempt.gang || found->second.placed == 0 ? 0 : found->second.placed - 1;
+  found->second.placed = attempt.isGangMember || found->second.placed == 0 ? 0 : found->second.placed - 1;
 }
 
 void ShareAccount::reclaim(const machines::Attempt& attempt) {
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -108,7 +108,8 @@
     if (auto problem = checkGroup(share.group, settings)) return problem;
     if (auto problem = checkWeight("group " + share.group.str() + " weight", share.weight)) return problem;
   }
-  const auto most = static_cast<std::size_t>(settings.state.valueKb * 1024 * constants::kMaxValueFill);
+  const auto most =
+      static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxValueFill);
   if (encode(table).dump().size() > most)
     return FieldError{"groups", "make a record of more than " + std::to_string(most) + " bytes"};
   return std::nullopt;
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -52,12 +52,12 @@
   double take(const jobs::Job& job, double tasks) {
     const auto found = free_.find(job.spec.team);
     if (found == free_.end()) return tasks;
-    double fit =
-        std::floor(std::max(0.0, found->second) / std::max(job.spec.each.vcpus, constants::kMinCpuDivisor) +
-                   constants::kResourceRounding);
+    double fit = std::floor(std::max(0.0, found->second) /
+                                std::max(job.spec.taskResources.vcpus, constants::kMinCpuDivisor) +
+                            constants::kResourceRounding);
     if (job.isGang() && fit < tasks) fit = 0;
     fit = std::min(fit, tasks);
-    found->second -= fit * job.spec.each.vcpus;
+    found->second -= fit * job.spec.taskResources.vcpus;
     return fit;
   }
 
@@ -81,26 +81,26 @@
 void addDemand(const jobs::Job& job, TeamQuota& quota, UsageSnapshot& usage) {
   JobStanding& standing = usage.jobs.at(job.spec.ref.text);
   GroupLoad& load = usage.loads[standing.group];
-  const bool counts = !job.failures.jobAtFault() && isServable(job.spec.each, usage.capacity);
+  const bool counts = !job.failures.jobAtFault() && isServable(job.spec.taskResources, usage.capacity);
   const double waiting = counts ? quota.take(job, job.waiting) : 0;
-  const Resources demand = times(job.spec.each, standing.placed + waiting);
+  const Resources demand = times(job.spec.taskResources, standing.placed + waiting);
   load.demand += demand;
   if (standing.placed + waiting > 0) {
-    const Resources unit = times(job.spec.each, job.isGang() ? job.spec.taskCount : 1);
+    const Resources unit = times(job.spec.taskResources, job.isGang() ? job.spec.taskCount : 1);
     usage.units[standing.group] = std::max(usage.units[standing.group], dominantShare(unit, usage.capacity));
   }
   if (standing.fixed) {
     load.fixed += demand;
   } else if (isStartedArray(job, standing.placed) && standing.placed + waiting > 0) {
     standing.keepsOne = true;
-    load.fixed += job.spec.each;
+    load.fixed += job.spec.taskResources;
   }
 }
 
 }  // namespace
 
 bool isLeaving(const Attempt& attempt) {
-  return attempt.stopRequested || attempt.phase == machines::AttemptPhase::saving;
+  return attempt.stopRequested || attempt.phase == machines::AttemptPhase::checkpointing;
 }
 
 const JobStanding* UsageSnapshot::find(std::string_view ref) const {
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -36,8 +36,8 @@
 }
 
 void Client::setShare(double share) {
-  requests_.set(settings_.state.requestsPerS * share, settings_.state.requestsPerS * share);
-  writes_.set(settings_.state.writesPerS * share, settings_.state.writesPerS * share);
+  requests_.set(settings_.stateLimits.requestsPerS * share, settings_.stateLimits.requestsPerS * share);
+  writes_.set(settings_.stateLimits.writesPerS * share, settings_.stateLimits.writesPerS * share);
 }
 
 void Client::setLeading(bool leading) {
@@ -115,12 +115,12 @@
 }
 
 bool Client::send(Time now, Urgency urgency, QueuedRequest& request) {
-  const bool mayOverdraw = urgency == Urgency::lease || urgency == Urgency::accept;
+  const bool mayOverdraw = urgency == Urgency::lease || urgency == Urgency::acceptance;
   if (!mayOverdraw && !withinLimits(now, request)) return false;
   requests_.take(now, 1);
   if (request.writes > 0) writes_.take(now, request.writes);
   wire::Call call;
-  call.to = wire::Service::state;
+  call.service = wire::Service::state;
   call.endpoint = settings_.endpoints.state;
   call.method = std::move(request.method);
   call.path = std::move(request.path);
--- a/src/state/client.hpp
+++ b/src/state/client.hpp
@@ -36,7 +36,7 @@
 
 // Classes of requests, most urgent first. Leases and acceptances of jobs may exceed the rate limits, the
 // others wait.
-enum class Urgency { lease, accept, place, complete, rest };
+enum class Urgency { lease, acceptance, placement, completion, background };
 inline constexpr std::size_t kUrgencyCount = 5;
 
 // Rate-limited request queue to the key-value store. Each call ends with done(), also when it waited too
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -76,7 +76,7 @@
 // The changes are no longer kept by the store, or exceed the size limit of an answer: another watch would
 // fail in the same way. Pages of a listing are bounded.
 bool Feed::mustList(const wire::CallResult& result) {
-  return result.status == http::kGone || result.tooLarge;
+  return result.status == http::kGone || result.responseTooLarge;
 }
 
 void Feed::retryLater() { retryAt_ = now_ + constants::kStateBackoff; }
@@ -127,7 +127,8 @@
   // A listing begun meanwhile starts from a later revision: the changes in this answer would be skipped, and
   // their keys may be on a page that has not been read.
   const bool ok = state_ == State::following && applyChanges(result);
-  failing_ = !ok && !result.tooLarge && (result.status == 0 || result.status == http::kServiceUnavailable);
+  failing_ =
+      !ok && !result.responseTooLarge && (result.status == 0 || result.status == http::kServiceUnavailable);
   if (failing_) failWaiting();
   if (ok) confirmedAt_ = std::max(confirmedAt_, sent);
   for (const Confirmed& done : batch) done(ok);
--- a/src/state/key_watch.cpp
+++ b/src/state/key_watch.cpp
@@ -25,7 +25,7 @@
 
 void KeyWatch::read() {
   callInFlight_ = true;
-  client_.get(now_, Urgency::rest, key_, guard_.wrap([this](const wire::CallResult& result) {
+  client_.get(now_, Urgency::background, key_, guard_.wrap([this](const wire::CallResult& result) {
     callInFlight_ = false;
     onRead(result);
   }));
@@ -42,7 +42,7 @@
 
 void KeyWatch::watch() {
   callInFlight_ = true;
-  client_.watch(now_, Urgency::rest, key_, revision_, constants::kWatchPollTimeout,
+  client_.watch(now_, Urgency::background, key_, revision_, constants::kWatchPollTimeout,
                 guard_.wrap([this](const wire::CallResult& result) {
                   callInFlight_ = false;
                   onChanges(result);
@@ -51,7 +51,7 @@
 
 void KeyWatch::onChanges(const wire::CallResult& result) {
   // The store no longer keeps the changes, or they exceed the size limit: the key is read anew.
-  if (result.status == http::kGone || result.tooLarge) to(State::reading);
+  if (result.status == http::kGone || result.responseTooLarge) to(State::reading);
   const auto batch = decodeWatch(result);
   if (!batch) return retry();
   for (const KeyValue& event : batch->events)
--- a/src/state/transaction.cpp
+++ b/src/state/transaction.cpp
@@ -65,7 +65,7 @@
   if (result.status == http::kConflict) return onConflict(failedConditions(result));
   if (result.status == http::kBadRequest || result.status == http::kContentTooLarge)
     return finish(Outcome{Verdict::refused, 0, {kUnknownKey}});
-  if (result.unknown()) maybeApplied_ = true;
+  if (result.isOutcomeUnknown()) maybeApplied_ = true;
   pause(now_);
 }
 
--- a/src/state/transaction.hpp
+++ b/src/state/transaction.hpp
@@ -56,7 +56,7 @@
   std::uint64_t markCount_ = 0;
   State state_ = State::idle;
   Transaction transaction_;
-  Urgency urgency_ = Urgency::rest;
+  Urgency urgency_ = Urgency::background;
   Done done_;
   std::string mark_;
   std::string readBackKey_;
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -11,13 +11,13 @@
 Result<MachineType> decodeMachineType(const Json& body) {
   MachineType machineType;
   FieldReader fields(body);
-  fields.text("label", machineType.label);
+  fields.text("label", machineType.name);
   fields.resources(machineType.capacity);
-  fields.amount("cacheGb", machineType.cacheGb);
-  fields.amount("pullGbPerS", machineType.pullGbPerS);
-  fields.amount("rate", machineType.rate);
-  fields.amount("marketPrice", machineType.marketPrice);
-  fields.amount("bootS", machineType.bootS);
+  fields.amount("cacheGb", machineType.imageCacheGb);
+  fields.amount("pullGbPerS", machineType.imagePullGbPerS);
+  fields.amount("rate", machineType.onDemandPricePerHour);
+  fields.amount("marketPrice", machineType.spotPricePerHour);
+  fields.amount("bootS", machineType.nominalBootTimeS);
   if (const Json* zones = fields.list("yards")) {
     for (const Json& zone : *zones)
       if (zone.is_string()) machineType.zones.push_back(zone.get<std::string>());
@@ -42,15 +42,15 @@
 Json encodeCatalog(const std::vector<MachineType>& machineTypes) {
   Json list = Json::array();
   for (const MachineType& machineType : machineTypes) {
-    list.push_back(Json{{"label", machineType.label},
+    list.push_back(Json{{"label", machineType.name},
                         {"vcpus", machineType.capacity.vcpus},
                         {"accelerators", machineType.capacity.accelerators},
                         {"memoryGb", machineType.capacity.memoryGb},
-                        {"cacheGb", machineType.cacheGb},
-                        {"pullGbPerS", machineType.pullGbPerS},
-                        {"rate", machineType.rate},
-                        {"marketPrice", machineType.marketPrice},
-                        {"bootS", machineType.bootS},
+                        {"cacheGb", machineType.imageCacheGb},
+                        {"pullGbPerS", machineType.imagePullGbPerS},
+                        {"rate", machineType.onDemandPricePerHour},
+                        {"marketPrice", machineType.spotPricePerHour},
+                        {"bootS", machineType.nominalBootTimeS},
                         {"yards", machineType.zones}});
   }
   return Json{{"rigs", std::move(list)}};
@@ -60,7 +60,7 @@
   InstanceEntry instance;
   FieldReader fields(body);
   std::string state;
-  fields.text("ref", instance.ref.text);
+  fields.text("ref", instance.host.text);
   fields.text("endpoint", instance.endpoint, true);
   fields.text("rig", instance.machineType);
   fields.text("yard", instance.zone);
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -42,7 +42,7 @@
 // A submitted job. Fails at the first field that is missing or invalid; unknown fields are ignored.
 Result<JobSpec> decodeJob(const Json& body);
 Json encodeJob(const JobSpec& job);
-// A worker's heartbeat. Unknown task states and causes are taken as TaskState::unfamiliar.
+// A worker's heartbeat. Unknown task states and causes are taken as TaskState::unrecognized.
 Result<WorkerHeartbeat> decodeHeartbeat(const Json& body);
 Json encodeHeartbeat(const WorkerHeartbeat& heartbeat);
 // Commands to a worker under a fencing token, as in the answer to a heartbeat.
--- a/src/wire/exchange.hpp
+++ b/src/wire/exchange.hpp
@@ -1,5 +1,5 @@
-// Calls to outside systems as values: the decision code queues them here, and the program around it sends
-// them and reports their results. So the decision code does no I/O itself.
+// Calls to outside systems as plain values. The decision code queues the calls here; the program around it
+// sends them and reports their results, so that the decision code does no I/O itself.
 #pragma once
 
 #include <chrono>
@@ -16,54 +16,55 @@
 using Time = Clock::time_point;
 using Duration = Clock::duration;
 
-// Conversions between seconds and durations.
-inline Duration seconds(double s) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
+// These functions convert between seconds and durations.
+inline Duration seconds(double count) {
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
 }
-inline double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
+inline double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// The outside systems: the key-value store, the cloud, and the workers.
+// The outside systems. `state` is the key-value store.
 enum class Service { state, cloud, worker };
 
 // One HTTP request to an outside system.
 struct Call {
-  std::uint64_t number = 0;  // by which its result is reported
-  Service to = Service::state;
+  std::uint64_t number = 0;  // identifies the call when its result is reported
+  Service service = Service::state;
   std::string endpoint;  // "ip:port"
   std::string method;
   std::string path;
-  Json body;  // null: none
+  Json body;  // null if the request has no body
   std::chrono::milliseconds timeout{0};
 };
 
 // The result of a call.
 struct CallResult {
-  int status = 0;     // 0: no answer, or one that could not be read
-  bool sent = false;  // false: certainly nothing reached the other side
+  int status = 0;     // HTTP status; 0 if no answer came or the answer could not be read
+  bool sent = false;  // false only if nothing can have reached the service
   Json body;
-  bool tooLarge = false;  // the answer exceeded the size limit, and would do so again
+  // The response exceeded the size limit; a repeated call would exceed it again.
+  bool responseTooLarge = false;
   bool ok() const { return status == 200; }
-  // Whether the call may have been carried out though no answer came.
-  bool unknown() const { return status == 0 && sent; }
+  // Returns whether the service may have carried out the call although no answer came.
+  bool isOutcomeUnknown() const { return status == 0 && sent; }
 };
 
-// Queue of calls to be sent, and of the callbacks that wait for their results. Not thread-safe.
+// A queue of the calls to be sent, with the callbacks for their results. It is not thread-safe.
 class Calls {
  public:
   using Done = std::function<void(const CallResult&)>;
 
-  // Queues the call under a number of its own; done is called once with its result.
+  // Assigns a unique number to the call and queues it. `done` is called once with its result.
   void start(Call call, Done done) {
     call.number = next_++;
     pending_.emplace(call.number, std::move(done));
     queued_.push_back(std::move(call));
   }
-  // Reports the result of a call; ignored if it has been reported before.
+  // Passes the result to the callback of the call. A second result of the same call is ignored.
   void complete(std::uint64_t number, const CallResult& result) {
     auto found = pending_.extract(number);
     if (!found.empty()) found.mapped()(result);
   }
-  // Removes and returns the calls queued since the last time.
+  // Removes and returns the calls that were queued since the previous drain().
   std::vector<Call> drain() { return std::exchange(queued_, {}); }
 
  private:
--- a/src/wire/heartbeats.cpp
+++ b/src/wire/heartbeats.cpp
@@ -8,13 +8,14 @@
 constexpr EnumName<TaskState> kTaskStateNames[] = {{TaskState::pulling, "pulling"},
                                                    {TaskState::waiting, "waiting"},
                                                    {TaskState::running, "running"},
-                                                   {TaskState::saving, "saving"},
+                                                   {TaskState::checkpointing, "saving"},
                                                    {TaskState::ended, "ended"}};
 
-constexpr EnumName<Cause> kCauseNames[] = {{Cause::done, "done"},    {Cause::halted, "halted"},
-                                           {Cause::error, "error"},  {Cause::insufficientCapacity, "no_room"},
-                                           {Cause::inUse, "in_use"}, {Cause::unknown, "unknown"},
-                                           {Cause::peers, "peers"},  {Cause::alone, "alone"}};
+constexpr EnumName<Cause> kCauseNames[] = {
+    {Cause::done, "done"},          {Cause::stopped, "halted"},
+    {Cause::error, "error"},        {Cause::insufficientCapacity, "no_room"},
+    {Cause::inUse, "in_use"},       {Cause::unknown, "unknown"},
+    {Cause::gangTaskLost, "peers"}, {Cause::gangIncomplete, "alone"}};
 
 constexpr EnumName<CommandVerb> kCommandVerbNames[] = {
     {CommandVerb::start, "launch"}, {CommandVerb::stop, "halt"}, {CommandVerb::forget, "reap"}};
@@ -29,13 +30,13 @@
   TaskStatus status;
   status.task = *id;
   status.attempt = *attempt;
-  status.state = valueIn(kTaskStateNames, *state).value_or(TaskState::unfamiliar);
+  status.state = valueIn(kTaskStateNames, *state).value_or(TaskState::unrecognized);
   if (status.state == TaskState::ended) {
     const auto cause = valueIn(kCauseNames, textField(entry, "cause").value_or(""));
-    if (!cause) status.state = TaskState::unfamiliar;
+    if (!cause) status.state = TaskState::unrecognized;
     status.cause = cause.value_or(Cause::none);
   }
-  status.stored = flagField(entry, "stored").value_or(false);
+  status.checkpointed = flagField(entry, "stored").value_or(false);
   return status;
 }
 
@@ -62,8 +63,8 @@
   fields.flag("loaners", heartbeat.spot);
   fields.count("shift", heartbeat.incarnation);
   fields.count("tally", heartbeat.sequence);
-  fields.count("baton", heartbeat.token);
-  fields.optionalAmount("recallS", heartbeat.spotNoticeS);
+  fields.count("baton", heartbeat.fencingToken);
+  fields.optionalAmount("recallS", heartbeat.timeUntilReclaimS);
   readTasks(fields, heartbeat.tasks);
   return fields.result(std::move(heartbeat));
 }
@@ -75,13 +76,13 @@
                {"try", status.attempt},
                {"stage", nameIn(kTaskStateNames, status.state, "unfamiliar")}};
     if (status.state == TaskState::ended) entry["cause"] = nameIn(kCauseNames, status.cause, "error");
-    if (status.stored) entry["stored"] = true;
+    if (status.checkpointed) entry["stored"] = true;
     tasks.push_back(std::move(entry));
   }
-  Json out{{"host", heartbeat.host.text}, {"endpoint", heartbeat.endpoint}, {"rig", heartbeat.machineType},
-           {"yard", heartbeat.zone},      {"loaners", heartbeat.spot},      {"shift", heartbeat.incarnation},
-           {"tally", heartbeat.sequence}, {"baton", heartbeat.token},       {"loads", std::move(tasks)}};
-  if (heartbeat.spotNoticeS) out["recallS"] = *heartbeat.spotNoticeS;
+  Json out{{"host", heartbeat.host.text}, {"endpoint", heartbeat.endpoint},  {"rig", heartbeat.machineType},
+           {"yard", heartbeat.zone},      {"loaners", heartbeat.spot},       {"shift", heartbeat.incarnation},
+           {"tally", heartbeat.sequence}, {"baton", heartbeat.fencingToken}, {"loads", std::move(tasks)}};
+  if (heartbeat.timeUntilReclaimS) out["recallS"] = *heartbeat.timeUntilReclaimS;
   return out;
 }
 
@@ -91,7 +92,7 @@
     Json entry{{"verb", nameIn(kCommandVerbNames, command.verb, "halt")},
                {"load", command.task.str()},
                {"try", command.attempt}};
-    if (command.verb == CommandVerb::stop) entry["windDownS"] = command.graceS;
+    if (command.verb == CommandVerb::stop) entry["windDownS"] = command.gracePeriodS;
     list.push_back(std::move(entry));
   }
   return Json{{"baton", token}, {"orders", std::move(list)}};
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -19,8 +19,9 @@
 
 // Where the job may run.
 void readConstraints(FieldReader& fields, const Json& body, JobSpec& job) {
-  if (fields.present("yard")) fields.text("yard", job.zone.emplace());
-  if (fields.present("rigs")) readMachineTypes(fields, *field(body, "rigs"), job.machineTypes.emplace());
+  if (fields.present("yard")) fields.text("yard", job.requiredZone.emplace());
+  if (fields.present("rigs"))
+    readMachineTypes(fields, *field(body, "rigs"), job.allowedMachineTypes.emplace());
 }
 }  // namespace
 
@@ -39,16 +40,16 @@
   fields.text("shape", kind);
   fields.text("rank", priority);
   fields.count("loads", taskCount);
-  fields.resources(job.each);
-  fields.flag("oneZone", job.oneZone);
-  fields.flag("apart", job.apart);
-  fields.flag("loaners", job.spot);
+  fields.resources(job.taskResources);
+  fields.flag("oneZone", job.singleZone);
+  fields.flag("apart", job.spreadZones);
+  fields.flag("loaners", job.allowsSpot);
   fields.text("crate", job.image);
-  fields.amount("sizeGb", job.sizeGb);
-  fields.amount("expectS", job.expectS);
-  fields.amount("stowEveryS", job.checkpointEveryS);
-  fields.amount("stowS", job.checkpointS);
-  fields.optionalAmount("dueS", job.dueS);
+  fields.amount("sizeGb", job.imageSizeGb);
+  fields.amount("expectS", job.expectedRunTimeS);
+  fields.amount("stowEveryS", job.checkpointIntervalS);
+  fields.amount("stowS", job.checkpointDurationS);
+  fields.optionalAmount("dueS", job.deadlineS);
   readConstraints(fields, body, job);
   if (taskCount < 1 || taskCount > kMaxTaskCount) fields.fail("loads");
   job.taskCount = static_cast<std::uint32_t>(taskCount);
@@ -64,20 +65,20 @@
            {"shape", name(job.kind)},
            {"rank", name(job.priority)},
            {"loads", job.taskCount},
-           {"vcpus", job.each.vcpus},
-           {"accelerators", job.each.accelerators},
-           {"memoryGb", job.each.memoryGb},
-           {"oneZone", job.oneZone},
-           {"apart", job.apart},
-           {"loaners", job.spot},
+           {"vcpus", job.taskResources.vcpus},
+           {"accelerators", job.taskResources.accelerators},
+           {"memoryGb", job.taskResources.memoryGb},
+           {"oneZone", job.singleZone},
+           {"apart", job.spreadZones},
+           {"loaners", job.allowsSpot},
            {"crate", job.image},
-           {"sizeGb", job.sizeGb},
-           {"expectS", job.expectS},
-           {"stowEveryS", job.checkpointEveryS},
-           {"stowS", job.checkpointS}};
-  if (job.machineTypes) out["rigs"] = *job.machineTypes;
-  if (job.zone) out["yard"] = *job.zone;
-  if (job.dueS) out["dueS"] = *job.dueS;
+           {"sizeGb", job.imageSizeGb},
+           {"expectS", job.expectedRunTimeS},
+           {"stowEveryS", job.checkpointIntervalS},
+           {"stowS", job.checkpointDurationS}};
+  if (job.allowedMachineTypes) out["rigs"] = *job.allowedMachineTypes;
+  if (job.requiredZone) out["yard"] = *job.requiredZone;
+  if (job.deadlineS) out["dueS"] = *job.deadlineS;
   return out;
 }
 
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -59,8 +59,8 @@
 }
 
 bool JobSpec::allowsMachineType(std::string_view machineType) const {
-  return !machineTypes ||
-         std::find(machineTypes->begin(), machineTypes->end(), machineType) != machineTypes->end();
+  return !allowedMachineTypes || std::find(allowedMachineTypes->begin(), allowedMachineTypes->end(),
+                                           machineType) != allowedMachineTypes->end();
 }
 
 }  // namespace reachhoist::wire
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -1,5 +1,5 @@
-// The messages of the service's interfaces as plain values, without I/O, so that clients may use this
-// package too. Times ending in S are seconds, sizes ending in Gb are gigabytes.
+// The messages of the service's interfaces as plain values. This package does no I/O, so that clients can use
+// it too. Names that end in S hold seconds, and names that end in Gb hold gigabytes.
 #pragma once
 
 #include <compare>
@@ -11,46 +11,48 @@
 
 namespace reachhoist::wire {
 
-// A name that is plain text on the wire. The tag makes names of different things different types.
+// A name that is plain text on the wire. The tag gives the names of different kinds of things different
+// types.
 template <class Tag>
 struct Name {
   std::string text;
   auto operator<=>(const Name&) const = default;
   bool empty() const { return text.empty(); }
 };
-// Name of a job, "job-" and digits.
+// The name of a job: "job-" followed by digits.
 using JobRef = Name<struct JobRefTag>;
-// Name of a machine.
+// The name of a machine.
 using HostName = Name<struct HostNameTag>;
 
-// A task of a job by its index, which counts from 0.
+// Identifies a task by its job and its index in the job, which counts from 0.
 struct TaskId {
   JobRef job;
   std::uint32_t index = 0;
   auto operator<=>(const TaskId&) const = default;
-  // The form used on the wire and in stored keys: "job-1/0".
+  // Returns the form used on the wire and in stored keys, such as "job-1/0".
   std::string str() const { return job.text + "/" + std::to_string(index); }
 };
-// Reads the form that TaskId::str() writes; nothing if the text is not of that form.
+// Parses the form that TaskId::str() writes. Returns nothing if the text does not have that form.
 std::optional<TaskId> parseTaskId(std::string_view text);
-// Whether the text has the form of a JobRef.
+// Returns whether the text has the form of a JobRef.
 bool validJobRef(std::string_view text);
 
-// array: independent tasks that end. service: tasks that run until aborted. gang: all tasks run at the same
-// time or none does; the wire calls it `ensemble`.
+// How the tasks of a job run. The tasks of an `array` are independent and end by themselves. The tasks of a
+// `service` run until the job is aborted. The tasks of a `gang`, which the wire calls `ensemble`, either all
+// run at the same time or do not run at all.
 enum class JobKind { array, service, gang };
-// Priority of a job, lowest first.
+// The priority of a job, lowest first.
 enum class Priority { bestEffort, standard, high, prod };
-// State of a job as its user sees it.
+// The state of a job as its user sees it.
 enum class JobStage { pending, running, done, cancelled };
-// Names on the wire.
+// These functions return the names on the wire.
 std::string_view name(JobKind kind);
 std::string_view name(Priority priority);
 std::string_view name(JobStage stage);
-// Whether a job in this stage never changes again.
+// Returns whether a job in this stage never changes again.
 inline bool isFinal(JobStage stage) { return stage == JobStage::done || stage == JobStage::cancelled; }
 
-// An amount of each resource of a machine: what a task takes, or what a machine has.
+// An amount of each resource, which a task requests or a machine offers.
 struct Resources {
   double vcpus = 0;
   double accelerators = 0;
@@ -58,7 +60,7 @@
 
   Resources& operator+=(const Resources& other);
   Resources& operator-=(const Resources& other);
-  // Whether no resource exceeds the capacity, up to rounding errors of repeated sums.
+  // Returns whether no resource exceeds the capacity. Rounding errors of repeated sums are tolerated.
   bool fitsIn(const Resources& capacity) const;
 };
 
@@ -70,29 +72,42 @@
   JobKind kind = JobKind::array;
   Priority priority = Priority::standard;
   std::uint32_t taskCount = 1;
-  Resources each;                                        // of each task
-  std::optional<std::vector<std::string>> machineTypes;  // the types it may run on; none: any
-  std::optional<std::string> zone;                       // the zone it must run in; none: any
-  bool oneZone = false;                                  // all tasks in the same zone
-  bool apart = false;                                    // at most half of the tasks, rounded up, in one zone
-  bool spot = false;                                     // may run on spot instances
+  Resources taskResources;  // of each task
+  // The machine types that the job may use. Without a list it may use every type.
+  std::optional<std::vector<std::string>> allowedMachineTypes;
+  std::optional<std::string> requiredZone;  // Without a value the job may run in every zone.
+  bool singleZone = false;                  // All tasks must run in the same zone.
+  bool spreadZones = false;                 // At most half of the tasks, rounded up, may run in one zone.
+  bool allowsSpot = false;                  // The tasks may run on spot instances.
   std::string image;
-  double sizeGb = 0;            // of the image
-  double expectS = 0;           // the user's estimate of a task's run time without the image fetch
-  double checkpointEveryS = 0;  // interval of progress between checkpoints; 0: the tasks write none
-  double checkpointS = 0;       // time to write a checkpoint when stopped
-  std::optional<double> dueS;   // deadline, from the submission on
+  double imageSizeGb = 0;
+  double expectedRunTimeS = 0;      // the user's estimate for one task, without the image pull
+  double checkpointIntervalS = 0;   // progress between checkpoints; 0 if the tasks write no checkpoints
+  double checkpointDurationS = 0;   // time that a stopped task needs to write a checkpoint
+  std::optional<double> deadlineS;  // counted from the submission
 
-  // Whether the job may run on machines of this type.
+  // Returns whether the job may run on machines of this type.
   bool allowsMachineType(std::string_view machineType) const;
 };
 
-// State of a task on its worker. saving: told to stop, writes a checkpoint. unfamiliar: a state or cause of a
-// later protocol version; such a task is counted as still present.
-enum class TaskState { pulling, waiting, running, saving, ended, unfamiliar };
-// Why a task ended. none: it has not. insufficientCapacity, inUse, unknown: its start was refused. peers,
-// alone: a gang's task whose gang lost another task, or was not complete in time.
-enum class Cause { none, done, halted, error, insufficientCapacity, inUse, unknown, peers, alone };
+// The state of a task attempt on its worker. A task in `checkpointing` has received a stop command and writes
+// a checkpoint. `unrecognized` stands for a state or cause of a later protocol version; the task is still
+// counted as present on the worker.
+enum class TaskState { pulling, waiting, running, checkpointing, ended, unrecognized };
+// The reason why a task ended; `none` while it has not ended. `insufficientCapacity`, `inUse` and `unknown`
+// mean that the worker refused to start the task. `gangTaskLost` means that the gang lost another task, and
+// `gangIncomplete` that the gang was not complete in time.
+enum class Cause {
+  none,
+  done,
+  stopped,
+  error,
+  insufficientCapacity,
+  inUse,
+  unknown,
+  gangTaskLost,
+  gangIncomplete
+};
 
 // A worker's report on one attempt at a task.
 struct TaskStatus {
@@ -100,56 +115,58 @@
   std::uint64_t attempt = 0;
   TaskState state = TaskState::pulling;
   Cause cause = Cause::none;
-  bool stored = false;  // its progress was checkpointed when it was stopped
+  bool checkpointed = false;  // The task wrote a checkpoint when it was stopped.
 };
 
-// What a worker sends periodically to the controllers.
+// The message that a worker sends periodically to the controllers.
 struct WorkerHeartbeat {
   HostName host;
-  std::string endpoint;  // "ip:port" on which the worker takes commands
+  std::string endpoint;  // "ip:port" at which the worker accepts commands
   std::string machineType;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;      // grows each time the worker's lease expires
-  std::uint64_t sequence = 0;         // grows with each heartbeat and command response of one incarnation
-  std::uint64_t token = 0;            // highest fencing token the worker has seen
-  std::optional<double> spotNoticeS;  // time left until a spot instance is reclaimed
+  std::uint64_t incarnation = 0;   // increases each time the worker's lease expires
+  std::uint64_t sequence = 0;      // increases with each heartbeat and command response of an incarnation
+  std::uint64_t fencingToken = 0;  // the highest that the worker has received
+  // Set once the cloud has announced that it will reclaim the spot instance.
+  std::optional<double> timeUntilReclaimS;
   std::vector<TaskStatus> tasks;
 };
 
-// start: run the attempt. stop: end it within the grace period. forget: drop the record of an ended one.
+// What a worker does with a task attempt: `start` runs it, `stop` ends it within the grace period, and
+// `forget` deletes the worker's record of an ended attempt.
 enum class CommandVerb { start, stop, forget };
 // A command to a worker about one attempt at a task.
 struct Command {
   CommandVerb verb = CommandVerb::start;
   TaskId task;
   std::uint64_t attempt = 0;
-  double graceS = 0;  // of a stop: time to write a checkpoint
+  double gracePeriodS = 0;  // time to write a checkpoint; only for `stop`
 };
 
-// A machine type of the cloud's catalogue.
+// A machine type in the cloud's catalogue.
 struct MachineType {
-  std::string label;
+  std::string name;
   Resources capacity;
-  double cacheGb = 0;              // of the image cache
-  double pullGbPerS = 1;           // rate at which images are pulled
-  double rate = 0;                 // on-demand price per hour
-  double marketPrice = 0;          // spot price per hour
-  double bootS = 0;                // nominal boot time
-  std::vector<std::string> zones;  // in which it is offered
+  double imageCacheGb = 0;  // size of the image cache
+  double imagePullGbPerS = 1;
+  double onDemandPricePerHour = 0;
+  double spotPricePerHour = 0;
+  double nominalBootTimeS = 0;
+  std::vector<std::string> zones;  // the zones that offer the type
 };
 
-// State of an instance in the cloud's list.
+// The state of an instance in the cloud's list.
 enum class InstanceState { starting, running, failed };
 // An instance in the cloud's list.
 struct InstanceEntry {
-  HostName ref;
-  std::string endpoint;  // empty until the instance runs
+  HostName host;
+  std::string endpoint;  // empty until the instance is running
   std::string machineType;
   std::string zone;
   bool spot = false;
   InstanceState state = InstanceState::starting;
-  double ageS = 0;  // since the instance request
+  double ageS = 0;  // time since the instance was requested
 };
 
 }  // namespace reachhoist::wire
