--- a/src/fleet/headroom.cpp
+++ b/src/fleet/headroom.cpp
@@ -23,11 +23,11 @@
 }
 
 bool Headroom::allowsRelease(const Machine& machine) const {
-  return machine.spot || freeCpus_ - machine.total.vcpus >= requiredCpus_;
+  return machine.spot || freeCpus_ - machine.capacity.vcpus >= requiredCpus_;
 }
 
 void Headroom::release(const Machine& machine) {
-  if (!machine.spot) freeCpus_ -= machine.total.vcpus;
+  if (!machine.spot) freeCpus_ -= machine.capacity.vcpus;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -35,7 +35,7 @@
   for (const Machine* machine : snapshot.machines) {
     if (machine->phase == MachinePhase::booting) {
       if (!isStraggler(snapshot, cohorts, *machine))
-        out.push_back(PendingInstance{poolOf(*machine), machine->total});
+        out.push_back(PendingInstance{poolOf(*machine), machine->capacity});
     } else if (machine->phase == MachinePhase::up && !machine->contact.tokenAcknowledged &&
                !machine->spotNoticeAt) {
       out.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -51,8 +51,8 @@
       }
     }
     CpuUsage& usage = cpus[found->first];
-    usage.used += machine->total.vcpus - machine->freeCapacity().vcpus;
-    usage.total += machine->total.vcpus;
+    usage.used += machine->capacity.vcpus - machine->freeCapacity().vcpus;
+    usage.total += machine->capacity.vcpus;
   }
   return cpus;
 }
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -35,7 +35,7 @@
   double held = 0;
   for (const machines::Attempt& attempt : machine.attempts)
     if (attempt.holdsCapacity() && holdsReserve(attempt)) held += attempt.resources.vcpus;
-  const double free = std::max(0.0, machine.total.vcpus - held);
+  const double free = std::max(0.0, machine.capacity.vcpus - held);
   capacity.used += held;
   capacity.free += free;
   capacity.freeByZone[machine.zone] += free;
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -76,13 +76,13 @@
     if (pool.draining >= maxDraining) break;
     // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
     // loss of one uses up nothing that the next services need.
-    const double used = machine->total.vcpus - machine->freeCapacity().vcpus;
-    if (used > machine->total.vcpus * constants::kConsolidationMaxUsage) break;
-    if (pool.freeCpus - machine->total.vcpus <
-        headroomCpus + constants::kConsolidationSpareMachines * machine->total.vcpus)
+    const double used = machine->capacity.vcpus - machine->freeCapacity().vcpus;
+    if (used > machine->capacity.vcpus * constants::kConsolidationMaxUsage) break;
+    if (pool.freeCpus - machine->capacity.vcpus <
+        headroomCpus + constants::kConsolidationSpareMachines * machine->capacity.vcpus)
       break;
     if (!isMovable(snapshot, *machine, pool)) continue;
-    pool.freeCpus -= machine->total.vcpus;
+    pool.freeCpus -= machine->capacity.vcpus;
     ++pool.draining;
     out.push_back(machine);
   }
--- a/src/fleet/snapshot.hpp
+++ b/src/fleet/snapshot.hpp
@@ -24,7 +24,7 @@
   const config::Settings& settings;
   const std::vector<wire::MachineType>& catalog;
   Time now{};
-  std::int64_t wallMs = 0;  // wall clock, in milliseconds since the epoch
+  std::int64_t wallClockMs = 0;  // wall clock, in milliseconds since the epoch
   std::vector<Machine*> machines;
   std::vector<placement::UnplacedDemand> unplaced;  // queued work that the last placement round left
   std::set<PoolKey> refusedPools;                   // their instance requests were refused lately
--- a/src/fleet/unplaced_demand.cpp
+++ b/src/fleet/unplaced_demand.cpp
@@ -37,7 +37,7 @@
   // Capacity that frees up by itself comes in pieces.
   if (job.isGang()) return true;
   if (job.spec.deadlineS) {
-    const double slackS = static_cast<double>(job.deadlineMs() - snapshot.wallMs) / 1000.0 -
+    const double slackS = static_cast<double>(job.deadlineMs() - snapshot.wallClockMs) / 1000.0 -
                           job.spec.expectedRunTimeS - kBootReserve * nominalBootTimeS;
     if (slackS < kWaitForFreedCapacityS) return true;
   }
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -45,21 +45,24 @@
 wire::JobStage Job::displayedStage() const {
   if (phase == JobPhase::done) return wire::JobStage::done;
   if (phase == JobPhase::cancelled) return wire::JobStage::cancelled;
-  return (tasks.empty() ? displayedRunning : running) > 0 ? wire::JobStage::running : wire::JobStage::pending;
+  return (tasks.empty() ? displayedRunning : runningCount) > 0 ? wire::JobStage::running
+                                                               : wire::JobStage::pending;
 }
 
 void Job::setTaskPhase(std::uint32_t index, TaskPhase next, Time now) {
   TaskPhase& phase = tasks.at(index);
   if (phase == next) return;
   const auto counter = [this](TaskPhase counted) -> std::uint32_t& {
-    return counted == TaskPhase::waiting ? waiting : counted == TaskPhase::placed ? placed : completed;
+    return counted == TaskPhase::waiting  ? waitingCount
+           : counted == TaskPhase::placed ? placedCount
+                                          : completedCount;
   };
   --counter(phase);
   ++counter(next);
   phase = next;
   if (next == TaskPhase::placed) lastPlacedAt = now;
   if (next == TaskPhase::waiting) {
-    if (waiting == 1) waitingSince = now;
+    if (waitingCount == 1) waitingSince = now;
     firstWaiting = std::min(firstWaiting, index);
   }
   while (firstWaiting < spec.taskCount && tasks[firstWaiting] != TaskPhase::waiting) ++firstWaiting;
@@ -67,8 +70,8 @@
 
 void Job::beginTracking(Time now) {
   tasks.assign(spec.taskCount, TaskPhase::waiting);
-  waiting = spec.taskCount;
-  placed = running = completed = firstWaiting = 0;
+  waitingCount = spec.taskCount;
+  placedCount = runningCount = completedCount = firstWaiting = 0;
   doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
@@ -78,11 +81,11 @@
 }
 
 void Job::endTracking() {
-  displayedCompleted = completed;
-  displayedRunning = running;
+  displayedCompleted = completedCount;
+  displayedRunning = runningCount;
   tasks.clear();
   tasks.shrink_to_fit();
-  waiting = placed = running = completed = firstWaiting = 0;
+  waitingCount = placedCount = runningCount = completedCount = firstWaiting = 0;
   doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
@@ -120,19 +123,19 @@
 
 std::int64_t Job::deadlineMs() const {
   if (!spec.deadlineS) return std::numeric_limits<std::int64_t>::max();
-  return acceptedMs + static_cast<std::int64_t>(*spec.deadlineS * 1000);
+  return acceptedAtMs + static_cast<std::int64_t>(*spec.deadlineS * 1000);
 }
 
 Json encodeOpen(const Job& job) {
   return Json{
-      {"phase", name(JobPhase::accepted)}, {"atMs", job.acceptedMs}, {"spec", wire::encodeJob(job.spec)}};
+      {"phase", name(JobPhase::accepted)}, {"atMs", job.acceptedAtMs}, {"spec", wire::encodeJob(job.spec)}};
 }
 
 Json encodeFinal(const Job& job, JobPhase phase) {
   // The team and the task size are kept: tasks may still be on machines, where they count towards the team's
   // quota.
   return Json{{"phase", name(phase)},
-              {"atMs", job.acceptedMs},
+              {"atMs", job.acceptedAtMs},
               {"loads", job.spec.taskCount},
               {"crew", job.spec.team},
               {"vcpus", job.spec.taskResources.vcpus},
@@ -159,10 +162,11 @@
   // A final phase never changes back, whatever a record says.
   if (known != nullptr && !known->isOpen()) return Change::malformed;
   const bool isNew = known == nullptr;
-  const Json* acceptedMs = wire::field(value, "atMs");
+  const Json* acceptedAtMs = wire::field(value, "atMs");
   Job& job = jobs_[ref];
   job.revision = revision;
-  job.acceptedMs = acceptedMs != nullptr && acceptedMs->is_number() ? acceptedMs->get<std::int64_t>() : 0;
+  job.acceptedAtMs =
+      acceptedAtMs != nullptr && acceptedAtMs->is_number() ? acceptedAtMs->get<std::int64_t>() : 0;
   if (isNew) job.spec = std::move(*decoded);
   open_.insert(ref);
   return isNew ? Change::accepted : Change::none;
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -59,19 +59,19 @@
 struct Job {
   wire::JobSpec spec;  // of a final job: only the reference, the task count, the team and the task's size
   JobPhase phase = JobPhase::accepted;
-  std::uint64_t revision = 0;   // of the stored record
-  std::int64_t acceptedMs = 0;  // wall clock, milliseconds since the epoch
+  std::uint64_t revision = 0;     // of the stored record
+  std::int64_t acceptedAtMs = 0;  // wall clock, milliseconds since the epoch
 
   // Progress to display while this controller does not track the job, as the leader reported it.
   std::uint32_t displayedCompleted = 0;
   std::uint32_t displayedRunning = 0;
 
   // Tracked by the leader.
-  std::vector<TaskPhase> tasks;  // by task index; empty while the job is not tracked
-  std::uint32_t waiting = 0;     // tasks in this phase; the same for `placed` and `completed`
-  std::uint32_t placed = 0;
-  std::uint32_t running = 0;  // of the placed tasks, those that run
-  std::uint32_t completed = 0;
+  std::vector<TaskPhase> tasks;    // by task index; empty while the job is not tracked
+  std::uint32_t waitingCount = 0;  // tasks in this phase; the same for `placedCount` and `completedCount`
+  std::uint32_t placedCount = 0;
+  std::uint32_t runningCount = 0;  // of the placed tasks, those that run
+  std::uint32_t completedCount = 0;
   std::uint32_t firstWaiting = 0;                        // no task with a lower index is waiting
   std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> revision of its completion record
   std::set<std::uint32_t> dirtyChunks;                   // chunks with completions that are not durable yet
@@ -85,7 +85,7 @@
   bool isOpen() const { return phase == JobPhase::accepted; }
   bool isGang() const { return spec.kind == wire::JobKind::gang; }
   // Whether all tasks are completed. Services never finish.
-  bool isFinished() const { return spec.kind != wire::JobKind::service && completed == spec.taskCount; }
+  bool isFinished() const { return spec.kind != wire::JobKind::service && completedCount == spec.taskCount; }
   // The stage shown to users.
   wire::JobStage displayedStage() const;
   // The one function that changes a task's phase; keeps the counters in step.
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -26,10 +26,10 @@
 }
 
 wire::Resources Machine::freeCapacity() const {
-  wire::Resources capacity = total;
+  wire::Resources free = capacity;
   for (const Attempt& attempt : attempts)
-    if (attempt.holdsCapacity()) capacity -= attempt.resources;
-  return capacity;
+    if (attempt.holdsCapacity()) free -= attempt.resources;
+  return free;
 }
 
 void MachineFaults::clear() {
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -111,7 +111,7 @@
   std::string machineType;
   std::string zone;
   bool spot = false;
-  wire::Resources total;
+  wire::Resources capacity;
   double imageCacheGb = 0;  // size of the image cache; 0: not known
   double imagePullGbPerS = 1;
   MachinePhase phase = MachinePhase::booting;
--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -45,7 +45,8 @@
     seconds += shared ? pullS * constants::kSharedFetchCostShare : pullS;
   }
   if (job.spec.allowsSpot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
-  const double used = 1 - bin.freeCapacity.vcpus / std::max(machine.total.vcpus, constants::kMinCpuDivisor);
+  const double used =
+      1 - bin.freeCapacity.vcpus / std::max(machine.capacity.vcpus, constants::kMinCpuDivisor);
   seconds += (job.spec.priority >= wire::Priority::high ? constants::kEmptyMachineServicePenaltyS
                                                         : constants::kEmptyMachineArrayPenaltyS) *
              (1 - used);
--- a/src/placement/gang_placer.cpp
+++ b/src/placement/gang_placer.cpp
@@ -58,7 +58,7 @@
 void GangPlacer::place(Job& job) {
   const auto placedTasks = state_.zoneCounts.find(job.spec.ref.text);
   if (placedTasks != state_.zoneCounts.end() && !placedTasks->second.empty()) return;
-  if (job.waiting != job.spec.taskCount) return;
+  if (job.waitingCount != job.spec.taskCount) return;
   if (!state_.quotas.allows(job, job.spec.taskCount)) {
     if (!mayReserve(job)) return;
     ++reservedGangs_;
--- a/src/placement/job_order.cpp
+++ b/src/placement/job_order.cpp
@@ -11,12 +11,12 @@
 
 QueuedJob queue(const RoundState& state, Job& job) {
   if (job.spec.priority >= wire::Priority::high) return QueuedJob{&job, JobTier::byPriority, 0};
-  const SloOutlook outlook = sloOutlook(job, state.input.settings, state.input.wallMs);
+  const SloOutlook outlook = sloOutlook(job, state.input.settings, state.input.wallClockMs);
   if (state.isWithinGuarantee(job.spec.ref.text))
     return QueuedJob{&job, JobTier::guaranteed, outlook.latestStartMs};
   const bool starved = (state.shareAccount && state.shareAccount->mustKeepRunning(job)) ||
                        state.input.now - job.lastPlacedAt > constants::kStarvationTimeout;
-  if (starved) return QueuedJob{&job, JobTier::starved, job.acceptedMs};
+  if (starved) return QueuedJob{&job, JobTier::starved, job.acceptedAtMs};
   const JobTier tier = outlook.reachable ? JobTier::sloReachable : JobTier::sloUnreachable;
   return QueuedJob{&job, tier, outlook.latestStartMs};
 }
@@ -28,7 +28,7 @@
   if (a.mayPreemptByRank() && a.job->spec.priority != b.job->spec.priority)
     return a.job->spec.priority > b.job->spec.priority;
   if (a.latestStartMs != b.latestStartMs) return a.latestStartMs < b.latestStartMs;
-  return a.job->acceptedMs < b.job->acceptedMs;
+  return a.job->acceptedAtMs < b.job->acceptedAtMs;
 }
 
 }  // namespace
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -40,10 +40,10 @@
     if (found == byTeam.end()) continue;
     auto& jobs = found->second;
     std::sort(jobs.begin(), jobs.end(),
-              [](const Job* a, const Job* b) { return a->acceptedMs < b->acceptedMs; });
+              [](const Job* a, const Job* b) { return a->acceptedAtMs < b->acceptedAtMs; });
     TeamUsage sum;
     for (const Job* job : jobs) {
-      const double unfinished = job->spec.taskCount - job->completed;
+      const double unfinished = job->spec.taskCount - job->completedCount;
       sum.cpus += job->spec.taskResources.vcpus * unfinished;
       sum.gpus += job->spec.taskResources.accelerators * unfinished;
       if (sum.cpus > team.cpus + constants::kResourceRounding ||
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -51,7 +51,7 @@
 struct SchedulingInput {
   const config::Settings& settings;
   Time now{};
-  std::int64_t wallMs = 0;           // wall clock, milliseconds since the epoch
+  std::int64_t wallClockMs = 0;      // wall clock, milliseconds since the epoch
   std::vector<Job*> waitingJobs;     // open jobs with waiting tasks
   std::vector<const Job*> openJobs;  // all open jobs
   std::vector<Machine*> machines;    // all that are not terminated
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -10,7 +10,7 @@
 
 // Tasks of the job that one round may start: of a starved job only a part, so that all starved jobs get some.
 std::uint32_t tasksPerRound(const QueuedJob& queued) {
-  const std::uint32_t waiting = queued.job->waiting;
+  const std::uint32_t waiting = queued.job->waitingCount;
   return queued.tier == JobTier::starved ? std::max(1U, waiting / constants::kStarvedJobDivisor) : waiting;
 }
 
@@ -27,11 +27,11 @@
 
 void Round::placeJob(const QueuedJob& queued) {
   Job& job = *queued.job;
-  if (job.waiting == 0) return;
+  if (job.waitingCount == 0) return;
   if (std::max(job.backoffUntil, job.failures.backoffUntil()) > state_.input.now) return;
   const PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
   // A starved job of which nothing runs gets a start even if its group has reached its fair share.
-  const bool mustStart = queued.tier == JobTier::starved && job.placed == 0;
+  const bool mustStart = queued.tier == JobTier::starved && job.placedCount == 0;
   if (!mustStart && !state_.isWithinShare(job)) {
     deferredJobs_.push_back(DeferredJob{queued, progress});
     return;
@@ -45,7 +45,7 @@
   Job& job = *queued.job;
   const std::uint32_t most = tasksPerRound(queued);
   placeUpTo(job, most, use, progress);
-  const std::uint32_t left = job.waiting - progress.placed;
+  const std::uint32_t left = job.waitingCount - progress.placed;
   if (left == 0 || progress.limit == PlacementLimit::teamQuota) return;
   if (progress.limit == PlacementLimit::fairShare) {
     deferredJobs_.push_back(DeferredJob{queued, progress});
@@ -59,9 +59,9 @@
 }
 
 void Round::retryJobAtFault(Job& job) {
-  if (job.placed >= constants::kFaultyJobTrialTasks) return;
+  if (job.placedCount >= constants::kFaultyJobTrialTasks) return;
   PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
-  placeUpTo(job, constants::kFaultyJobTrialTasks - job.placed, ShareUse::withinShare, progress);
+  placeUpTo(job, constants::kFaultyJobTrialTasks - job.placedCount, ShareUse::withinShare, progress);
 }
 
 void Round::placeUpTo(Job& job, std::uint32_t most, ShareUse use, PlacementProgress& progress) {
@@ -98,7 +98,7 @@
   if (progress.limit == PlacementLimit::teamQuota) return;
   // The rest counts as unplaced as usual: the fleet scales out for all waiting work, while fair shares divide
   // the present capacity.
-  addUnplaced(job, job.waiting - progress.placed);
+  addUnplaced(job, job.waitingCount - progress.placed);
 }
 
 bool Round::isAwaited(const Bin& bin) const {
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -31,7 +31,7 @@
 }
 
 void RoundState::addMachine(Machine& machine, bool countUsage, bool countZones) {
-  Bin bin{&machine, machine.total, wire::Priority::prod, false, {}, {}, false, {}};
+  Bin bin{&machine, machine.capacity, wire::Priority::prod, false, {}, {}, false, {}};
   const bool reachable = isReachable(machine);
   for (const machines::Attempt& attempt : machine.attempts) {
     if (!attempt.holdsCapacity()) continue;
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -19,17 +19,17 @@
   if (team != nullptr && team->gpusMax > 0 && job.spec.taskResources.accelerators > 0)
     atOnce = std::min(atOnce, std::floor(team->gpusMax / job.spec.taskResources.accelerators +
                                          constants::kResourceRounding));
-  return std::max(1.0, std::ceil(job.waiting / std::max(1.0, atOnce)));
+  return std::max(1.0, std::ceil(job.waitingCount / std::max(1.0, atOnce)));
 }
 
 }  // namespace
 
-SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallMs) {
+SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallClockMs) {
   const double runs = sequentialRuns(job, settings);
   const double expectedRunTimeS = job.spec.expectedRunTimeS;
   // Estimates are often wrong by half: an SLO is given up only when it would be missed by that much.
   const double slackS = expectedRunTimeS * constants::kEstimateSlack;
-  const double ageS = static_cast<double>(wallMs - job.acceptedMs) / 1000.0;
+  const double ageS = static_cast<double>(wallClockMs - job.acceptedAtMs) / 1000.0;
   double best = std::numeric_limits<double>::infinity();
   bool any = false;
   const auto consider = [&](double latestS) {
@@ -51,7 +51,7 @@
   if (job.spec.deadlineS && !due) consider(*job.spec.deadlineS - expectedRunTimeS * runs);
   if (!any) consider(wire::toSeconds(constants::kDefaultStartSlo));
   const bool reachable = std::isfinite(best);
-  return SloOutlook{reachable, job.acceptedMs + (reachable ? static_cast<std::int64_t>(best * 1000) : 0)};
+  return SloOutlook{reachable, job.acceptedAtMs + (reachable ? static_cast<std::int64_t>(best * 1000) : 0)};
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/slo.hpp
+++ b/src/placement/slo.hpp
@@ -12,8 +12,8 @@
   std::int64_t latestStartMs = 0;  // time of day by which waiting tasks must start for the next such SLO
 };
 
-// The job's outlook at `wallMs` (milliseconds since the epoch). Estimates may be off by
+// The job's outlook at `wallClockMs` (milliseconds since the epoch). Estimates may be off by
 // `kEstimateSlack` of the expected run time before an SLO is given up. Never fails.
-SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallMs);
+SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallClockMs);
 
 }  // namespace reachhoist::placement
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -59,10 +59,10 @@
   Context(const Context&) = delete;
 
   const config::Settings& settings;
-  wire::Calls calls;        // calls to outside systems that are queued or in flight
-  state::Client state;      // client of the key-value store
-  Time now{};               // steady time of the event that is being handled
-  std::int64_t wallMs = 0;  // the same as milliseconds since the Unix epoch
+  wire::Calls calls;             // calls to outside systems that are queued or in flight
+  state::Client state;           // client of the key-value store
+  Time now{};                    // steady time of the event that is being handled
+  std::int64_t wallClockMs = 0;  // the same as milliseconds since the Unix epoch
   // When this process last resumed after it had been suspended while the clocks ran on. What was heard before
   // says nothing about the present.
   Time resumedAt{};
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -88,9 +88,9 @@
 
 // --- time --------------------------------------------------------------------------------------------------
 
-void Controller::beginEvent(Time now, std::int64_t wallMs) {
+void Controller::beginEvent(Time now, std::int64_t wallClockMs) {
   context_.now = now;
-  context_.wallMs = wallMs;
+  context_.wallClockMs = wallClockMs;
   const Time before = std::exchange(lastEventAt_, now);
   if (before != Time{} && now - before > constants::kStallThreshold) resumed(now - before);
 }
@@ -102,8 +102,8 @@
   if (leader_) leader_->resumed(suspendedFor);
 }
 
-void Controller::start(Time now, std::int64_t wallMs) {
-  beginEvent(now, wallMs);
+void Controller::start(Time now, std::int64_t wallClockMs) {
+  beginEvent(now, wallClockMs);
   context_.event(Level::info, "start", {{"label", settings_.label}});
   jobFeed_.start(now);
   leadership_.start(now);
@@ -111,8 +111,8 @@
   catalogLoader_.tick();
 }
 
-void Controller::tick(Time now, std::int64_t wallMs) {
-  beginEvent(now, wallMs);
+void Controller::tick(Time now, std::int64_t wallClockMs) {
+  beginEvent(now, wallClockMs);
   applyLeadershipChange();
   leadership_.tick(now);
   // The leader may answer workers only while both this read and its lease are recent.
@@ -138,8 +138,9 @@
   return actions;
 }
 
-void Controller::onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result) {
-  beginEvent(now, wallMs);
+void Controller::onResult(Time now, std::int64_t wallClockMs, std::uint64_t call,
+                          const wire::CallResult& result) {
+  beginEvent(now, wallClockMs);
   context_.calls.complete(call, result);
   if (Leader* leader = activeLeader()) leader->advance();
 }
@@ -162,8 +163,8 @@
 
 // --- requests ----------------------------------------------------------------------------------------------
 
-void Controller::onRequest(Time now, std::int64_t wallMs, const Request& request) {
-  beginEvent(now, wallMs);
+void Controller::onRequest(Time now, std::int64_t wallClockMs, const Request& request) {
+  beginEvent(now, wallClockMs);
   const Route route = routeRequest(request.method, request.target);
   switch (route.endpoint) {
     case Endpoint::healthCheck:
@@ -206,8 +207,8 @@
 
 // --- messages between controllers --------------------------------------------------------------------------
 
-void Controller::onPeer(Time now, std::int64_t wallMs, const peer::Message& message) {
-  beginEvent(now, wallMs);
+void Controller::onPeer(Time now, std::int64_t wallClockMs, const peer::Message& message) {
+  beginEvent(now, wallClockMs);
   if (settings_.sibling(message.from) == nullptr) return;
   std::visit([&](const auto& payload) { onPeerMessage(message.from, payload); }, message.payload);
 }
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -44,15 +44,15 @@
   Controller(const Controller&) = delete;
 
   // To be called once, before any other event.
-  void start(Time now, std::int64_t wallMs);
+  void start(Time now, std::int64_t wallClockMs);
   // An HTTP request has come; the reply may follow in a later drain().
-  void onRequest(Time now, std::int64_t wallMs, const Request& request);
+  void onRequest(Time now, std::int64_t wallClockMs, const Request& request);
   // A call from drain() has ended.
-  void onResult(Time now, std::int64_t wallMs, std::uint64_t call, const wire::CallResult& result);
+  void onResult(Time now, std::int64_t wallClockMs, std::uint64_t call, const wire::CallResult& result);
   // A sibling's message has come.
-  void onPeer(Time now, std::int64_t wallMs, const peer::Message& message);
+  void onPeer(Time now, std::int64_t wallClockMs, const peer::Message& message);
   // To be called every constants::kTickInterval.
-  void tick(Time now, std::int64_t wallMs);
+  void tick(Time now, std::int64_t wallClockMs);
   // Takes what is to be done; to be called after each event.
   Actions drain();
 
@@ -73,7 +73,7 @@
   void onJobChange(jobs::JobTable::Change change, const std::string& ref);
 
   // --- Time
-  void beginEvent(Time now, std::int64_t wallMs);
+  void beginEvent(Time now, std::int64_t wallClockMs);
   void resumed(wire::Duration suspendedFor);
 
   // --- Leadership
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -4,8 +4,8 @@
 
 Json jobStatus(const jobs::Job& job) {
   // Only the leader tracks single tasks; the others show what it last sent them.
-  std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completed;
-  std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.running;
+  std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completedCount;
+  std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.runningCount;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
   if (!job.isOpen()) running = 0;
   return Json{{"ref", job.spec.ref.text},
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -121,12 +121,12 @@
   if (phase_ != Phase::acting) return out;
   for (const std::string& ref : state_.jobs.openJobs()) {
     const jobs::Job& job = *state_.jobs.find(ref);
-    const TaskCounts counts{job.completed, job.running};
+    const TaskCounts counts{job.completedCount, job.runningCount};
     TaskCounts& published = publishedCounts_[ref];
     if (!all && published == counts) continue;
     published = counts;
     if (counts != TaskCounts{} || !all)
-      out.jobs.push_back(peer::JobProgress{ref, job.completed, job.running});
+      out.jobs.push_back(peer::JobProgress{ref, job.completedCount, job.runningCount});
   }
   return out;
 }
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -12,9 +12,9 @@
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || job->tasks.empty()) return;
   if (isRunning) {
-    ++job->running;
-  } else if (job->running > 0) {
-    --job->running;
+    ++job->runningCount;
+  } else if (job->runningCount > 0) {
+    --job->runningCount;
   }
 }
 
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -106,7 +106,7 @@
   fleet::FleetSnapshot snapshot{context_.settings,
                                 *context_.catalog,
                                 context_.now,
-                                context_.wallMs,
+                                context_.wallClockMs,
                                 state_.existingMachines(),
                                 scheduler_.unplaced(),
                                 {},
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -73,9 +73,9 @@
 }
 
 void GangCoordinator::onTaskRunning(jobs::Job& job) {
-  if (job.gang.state != GangState::gathering || job.running < job.spec.taskCount) return;
-  // job.running also counts tasks of an earlier attempt and tasks that are checkpointing already: they don't
-  // show that this attempt runs.
+  if (job.gang.state != GangState::gathering || job.runningCount < job.spec.taskCount) return;
+  // job.runningCount also counts tasks of an earlier attempt and tasks that are checkpointing already: they
+  // don't show that this attempt runs.
   std::uint32_t running = 0;
   state_.forEachAttempt(job.spec.ref.text, [&](Machine&, const Attempt& attempt) {
     if (attempt.number == job.gang.attemptNumber && attempt.phase == AttemptPhase::running) ++running;
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -20,7 +20,7 @@
   if (!context_.catalog) return;
   for (const wire::MachineType& machineType : *context_.catalog) {
     if (machineType.name != machine.machineType) continue;
-    machine.total = machineType.capacity;
+    machine.capacity = machineType.capacity;
     machine.imageCacheGb = machineType.imageCacheGb;
     machine.imagePullGbPerS = machineType.imagePullGbPerS;
   }
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -42,7 +42,7 @@
   const std::size_t ops = context_.settings.stateLimits.opsPerTransaction;
   placement::SchedulingInput input{context_.settings,
                                    context_.now,
-                                   context_.wallMs,
+                                   context_.wallClockMs,
                                    {},
                                    {},
                                    {},
@@ -50,7 +50,7 @@
   for (const std::string& ref : state_.jobs.openJobs()) {
     jobs::Job* job = state_.jobs.find(ref);
     input.openJobs.push_back(job);
-    if (job->waiting > 0) input.waitingJobs.push_back(job);
+    if (job->waitingCount > 0) input.waitingJobs.push_back(job);
   }
   return input;
 }
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -48,7 +48,7 @@
 bool TaskFailurePolicy::succeedsElsewhere(
     const std::string& ref, std::optional<std::reference_wrapper<const Machine>> excluded) const {
   const jobs::Job* job = state_.jobs.find(ref);
-  if (job != nullptr && job->isOpen() && job->completed > 0) return true;
+  if (job != nullptr && job->isOpen() && job->completedCount > 0) return true;
   // Each task of a faulty job may run for a while before it fails.
   const auto longEnough =
       constants::kHealthyRunTime + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Milliseconds since the Unix epoch.
-std::int64_t wallMs() {
+std::int64_t wallClockMs() {
   const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
 }
@@ -28,7 +28,7 @@
 config::FieldError Runtime::run() {
   if (auto problem = listen()) return *problem;
   if (auto problem = connectSiblings()) return *problem;
-  controller_.start(reactor_.now(), wallMs());
+  controller_.start(reactor_.now(), wallClockMs());
   performActions();
   net::spawn(tickLoop());
   reactor_.run();
@@ -59,14 +59,14 @@
 net::Task<void> Runtime::tickLoop() {
   for (;;) {
     co_await reactor_.sleepUntil(reactor_.now() + constants::kTickInterval);
-    controller_.tick(reactor_.now(), wallMs());
+    controller_.tick(reactor_.now(), wallClockMs());
     performActions();
   }
 }
 
 void Runtime::onRequest(std::uint64_t number, net::HttpMessage request) {
   controller_.onRequest(
-      reactor_.now(), wallMs(),
+      reactor_.now(), wallClockMs(),
       Request{number, std::move(request.method), std::move(request.target), std::move(request.body)});
   performActions();
 }
@@ -74,7 +74,7 @@
 void Runtime::onFrame(const std::string& frame) {
   const auto message = peer::decode(frame);
   if (!message) return;
-  controller_.onPeer(reactor_.now(), wallMs(), *message);
+  controller_.onPeer(reactor_.now(), wallClockMs(), *message);
   performActions();
 }
 
@@ -98,7 +98,7 @@
 net::Task<void> Runtime::executeCall(wire::Call call) {
   const std::uint64_t number = call.number;
   const wire::CallResult result = co_await calls::execute(client_, std::move(call));
-  controller_.onResult(reactor_.now(), wallMs(), number, result);
+  controller_.onResult(reactor_.now(), wallClockMs(), number, result);
   performActions();
 }
 
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -96,7 +96,7 @@
 void SubmissionQueue::addJob(Batch& batch, const std::string& ref, const Submission& submission) const {
   jobs::Job job;
   job.spec = submission.spec;
-  job.acceptedMs = context_.wallMs;
+  job.acceptedAtMs = context_.wallClockMs;
   Json record = jobs::encodeOpen(job);
   batch.bytes += record.dump().size();
   // Revision 0: the job must not exist yet.
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -29,7 +29,8 @@
 
 // Arrays of one task have no further tasks to keep running: they wait like any other job.
 bool isStartedArray(const jobs::Job& job, std::uint32_t placed) {
-  return job.spec.kind == wire::JobKind::array && job.spec.taskCount > 1 && (placed > 0 || job.completed > 0);
+  return job.spec.kind == wire::JobKind::array && job.spec.taskCount > 1 &&
+         (placed > 0 || job.completedCount > 0);
 }
 
 // CPUs that each team's limit leaves free.
@@ -67,7 +68,7 @@
 
 // Adds the machine's capacity and what runs on it.
 void addRunning(const Machine& machine, UsageSnapshot& usage) {
-  usage.capacity += machine.total;
+  usage.capacity += machine.capacity;
   for (const Attempt& attempt : machine.attempts) {
     if (!attempt.holdsCapacity() || isLeaving(attempt)) continue;
     const auto found = usage.jobs.find(attempt.task.job.text);
@@ -82,7 +83,7 @@
   JobStanding& standing = usage.jobs.at(job.spec.ref.text);
   GroupLoad& load = usage.loads[standing.group];
   const bool counts = !job.failures.jobAtFault() && isServable(job.spec.taskResources, usage.capacity);
-  const double waiting = counts ? quota.take(job, job.waiting) : 0;
+  const double waiting = counts ? quota.take(job, job.waitingCount) : 0;
   const Resources demand = times(job.spec.taskResources, standing.placed + waiting);
   load.demand += demand;
   if (standing.placed + waiting > 0) {
