--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -45,21 +45,24 @@
 wire::JobStage Job::displayedStage() const {
   if (phase == JobPhase::done) return wire::JobStage::done;
   if (phase == JobPhase::cancelled) return wire::JobStage::cancelled;
-  return (tasks.empty() ? displayedRunning : running) > 0 ? wire::JobStage::running : wire::JobStage::pending;
+  return (tasks.empty() ? displayedRunning : runningCount) > 0 ? wire::JobStage::running
+                                                               : wire::JobStage::pending;
 }
 
 void Job::setTaskPhase(std::uint32_t index, TaskPhase next, Time now) {
   TaskPhase& phase = tasks.at(index);
   if (phase == next) return;
   const auto counter = [this](TaskPhase counted) -> std::uint32_t& {
-    return counted == TaskPhase::waiting ? waiting : counted == TaskPhase::placed ? placed : completed;
+    return counted == TaskPhase::waiting  ? waitingCount
+           : counted == TaskPhase::placed ? placedCount
+                                          : completedCount;
   };
   --counter(phase);
   ++counter(next);
   phase = next;
   if (next == TaskPhase::placed) lastPlacedAt = now;
   if (next == TaskPhase::waiting) {
-    if (waiting == 1) waitingSince = now;
+    if (waitingCount == 1) waitingSince = now;
     firstWaiting = std::min(firstWaiting, index);
   }
   while (firstWaiting < spec.taskCount && tasks[firstWaiting] != TaskPhase::waiting) ++firstWaiting;
@@ -67,8 +70,8 @@
 
 void Job::beginTracking(Time now) {
   tasks.assign(spec.taskCount, TaskPhase::waiting);
-  waiting = spec.taskCount;
-  placed = running = completed = firstWaiting = 0;
+  waitingCount = spec.taskCount;
+  placedCount = runningCount = completedCount = firstWaiting = 0;
   doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
@@ -78,11 +81,11 @@
 }
 
 void Job::endTracking() {
-  displayedCompleted = completed;
-  displayedRunning = running;
+  displayedCompleted = completedCount;
+  displayedRunning = runningCount;
   tasks.clear();
   tasks.shrink_to_fit();
-  waiting = placed = running = completed = firstWaiting = 0;
+  waitingCount = placedCount = runningCount = completedCount = firstWaiting = 0;
   doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
@@ -119,25 +122,25 @@
 }
 
 std::int64_t Job::deadlineMs() const {
-  if (!spec.dueS) return std::numeric_limits<std::int64_t>::max();
-  return acceptedMs + static_cast<std::int64_t>(*spec.dueS * 1000);
+  if (!spec.deadlineS) return std::numeric_limits<std::int64_t>::max();
+  return acceptedAtMs + static_cast<std::int64_t>(*spec.deadlineS * 1000);
 }
 
 Json encodeOpen(const Job& job) {
   return Json{
-      {"phase", name(JobPhase::accepted)}, {"atMs", job.acceptedMs}, {"spec", wire::encodeJob(job.spec)}};
+      {"phase", name(JobPhase::accepted)}, {"atMs", job.acceptedAtMs}, {"spec", wire::encodeJob(job.spec)}};
 }
 
 Json encodeFinal(const Job& job, JobPhase phase) {
   // The team and the task size are kept: tasks may still be on machines, where they count towards the team's
   // quota.
   return Json{{"phase", name(phase)},
-              {"atMs", job.acceptedMs},
+              {"atMs", job.acceptedAtMs},
               {"loads", job.spec.taskCount},
               {"crew", job.spec.team},
-              {"vcpus", job.spec.each.vcpus},
-              {"accelerators", job.spec.each.accelerators},
-              {"memoryGb", job.spec.each.memoryGb}};
+              {"vcpus", job.spec.taskResources.vcpus},
+              {"accelerators", job.spec.taskResources.accelerators},
+              {"memoryGb", job.spec.taskResources.memoryGb}};
 }
 
 JobTable::Change JobTable::apply(const std::string& ref, const Json& value, std::uint64_t revision) {
@@ -157,12 +160,13 @@
   auto decoded = spec != nullptr ? wire::decodeJob(*spec) : wire::Result<wire::JobSpec>::failure("no spec");
   if (!decoded) return Change::malformed;
   // A final phase never changes back, whatever a record says.
-  if (known != nullptr && !known->open()) return Change::malformed;
+  if (known != nullptr && !known->isOpen()) return Change::malformed;
   const bool isNew = known == nullptr;
-  const Json* acceptedMs = wire::field(value, "atMs");
+  const Json* acceptedAtMs = wire::field(value, "atMs");
   Job& job = jobs_[ref];
   job.revision = revision;
-  job.acceptedMs = acceptedMs != nullptr && acceptedMs->is_number() ? acceptedMs->get<std::int64_t>() : 0;
+  job.acceptedAtMs =
+      acceptedAtMs != nullptr && acceptedAtMs->is_number() ? acceptedAtMs->get<std::int64_t>() : 0;
   if (isNew) job.spec = std::move(*decoded);
   open_.insert(ref);
   return isNew ? Change::accepted : Change::none;
@@ -171,7 +175,7 @@
 JobTable::Change JobTable::applyFinal(const std::string& ref, JobPhase phase, const Json& value,
                                       std::uint64_t revision) {
   const Job* known = find(ref);
-  const bool wasFinal = known != nullptr && !known->open();
+  const bool wasFinal = known != nullptr && !known->isOpen();
   Job& job = jobs_[ref];
   job.revision = revision;
   if (wasFinal) return job.phase == phase ? Change::none : Change::malformed;
@@ -180,9 +184,11 @@
   rest.ref.text = ref;
   rest.taskCount = static_cast<std::uint32_t>(wire::countField(value, "loads").value_or(job.spec.taskCount));
   rest.team = wire::textField(value, "crew").value_or(job.spec.team);
-  rest.each.vcpus = wire::amountField(value, "vcpus").value_or(job.spec.each.vcpus);
-  rest.each.accelerators = wire::amountField(value, "accelerators").value_or(job.spec.each.accelerators);
-  rest.each.memoryGb = wire::amountField(value, "memoryGb").value_or(job.spec.each.memoryGb);
+  rest.taskResources.vcpus = wire::amountField(value, "vcpus").value_or(job.spec.taskResources.vcpus);
+  rest.taskResources.accelerators =
+      wire::amountField(value, "accelerators").value_or(job.spec.taskResources.accelerators);
+  rest.taskResources.memoryGb =
+      wire::amountField(value, "memoryGb").value_or(job.spec.taskResources.memoryGb);
   job.spec = std::move(rest);
   open_.erase(ref);
   return Change::ended;
@@ -197,7 +203,7 @@
   constexpr std::string_view kPrefix = "done/";
   if (!key.starts_with(kPrefix)) return false;
   const Job* job = jobs.find(key.substr(kPrefix.size(), key.rfind('/') - kPrefix.size()));
-  return job != nullptr && !job->open();
+  return job != nullptr && !job->isOpen();
 }
 
 }  // namespace reachhoist::jobs
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -76,7 +76,7 @@
   context_.event(Level::info, "leader_ready",
                  {{"term", state_.term},
                   {"machines", state_.machines.all().size()},
-                  {"open_jobs", state_.jobs.open().size()},
+                  {"open_jobs", state_.jobs.openJobs().size()},
                   {"load_ms", loadTime.count()}});
 }
 
@@ -119,14 +119,14 @@
   peer::Progress out;
   out.term = state_.term;
   if (phase_ != Phase::acting) return out;
-  for (const std::string& ref : state_.jobs.open()) {
+  for (const std::string& ref : state_.jobs.openJobs()) {
     const jobs::Job& job = *state_.jobs.find(ref);
-    const TaskCounts counts{job.completed, job.running};
+    const TaskCounts counts{job.completedCount, job.runningCount};
     TaskCounts& published = publishedCounts_[ref];
     if (!all && published == counts) continue;
     published = counts;
     if (counts != TaskCounts{} || !all)
-      out.jobs.push_back(peer::JobProgress{ref, job.completed, job.running});
+      out.jobs.push_back(peer::JobProgress{ref, job.completedCount, job.runningCount});
   }
   return out;
 }
