--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -9,13 +9,13 @@
                std::uint64_t term, std::vector<std::uint64_t> partitionRevisions)
     : context_(context),
       state_(context, leadership, jobFeed, jobs, term, std::move(partitionRevisions)),
-      commands_(state_, {[this](const Attempt& attempt) { return gangs_.mayStart(attempt); },
-                         [this](const wire::TaskId& task) { return records_.isDurable(task); },
+      commands_(state_, {[this](const Attempt& attempt) { return gangs_.canStart(attempt); },
+                         [this](const wire::TaskId& task) { return records_.isCompletionDurable(task); },
                          [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
                            heartbeats_.apply(machine, heartbeat, HeartbeatSource::direct);
                          }}),
       records_(state_,
-               {[this](jobs::Job& job) { onJobEnded(job); }, [this] { commands_.scheduleForgets(); }}),
+               {[this](jobs::Job& job) { onJobEnded(job); }, [this] { commands_.scheduleForgetCommands(); }}),
       gangs_(state_, commands_, records_),
       cloud_(context.calls, context.settings, state_.uniquePrefix(),
              {[this](const auto& pool, const auto& hosts, std::size_t refused) {
@@ -61,7 +61,7 @@
   advance();
   if (state_.resigned()) return;
   lifecycle_.writeDecommissioning();
-  records_.clean();
+  records_.deleteObsoleteKeys();
   autoscaler_.tick();
   autoscaler_.saveSizingState();
   scheduler_.updateShares();
@@ -69,7 +69,7 @@
 
 void Leader::startActing() {
   phase_ = Phase::acting;
-  state_.actingSince = context_.now;
+  state_.recordsLoadedAt = context_.now;
   autoscaler_.start();
   const auto loadTime =
       std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - state_.electedAt);
@@ -105,12 +105,12 @@
   if (phase_ != Phase::acting) return;
   const std::string ref = job.spec.ref.text;
   job.endTracking();
-  records_.forget(ref);
+  records_.forgetJob(ref);
   publishedCounts_.erase(ref);
   for (auto& [host, machine] : state_.machines.all()) {
     for (Attempt& attempt : machine.attempts)
       if (attempt.task.job.text == ref) commands_.stop(machine, attempt, 0);
-    AttemptTracker::eraseFreed(machine);
+    AttemptTracker::eraseReleased(machine);
   }
   state_.requestPlacementRound();
 }
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -23,7 +23,7 @@
   switch (status.state) {
     case wire::TaskState::unrecognized:
       // A state of a later protocol version: whatever it means, the task is on the machine.
-      if (!std::exchange(unfamiliarStateLogged_, true))
+      if (!std::exchange(unrecognizedStateLogged_, true))
         context_.event(Level::info, "unknown_state",
                        {{"task", attempt.task.str()}, {"machine", machine.host.text}});
       if (attempt.phase == AttemptPhase::recorded) setPhase(attempt, AttemptPhase::pulling);
@@ -108,10 +108,10 @@
     // An attempt whose placement is being written has never been started; the transaction decides about it.
     if (attempt.phase != AttemptPhase::planned) release(machine, attempt, why);
   }
-  eraseFreed(machine);
+  eraseReleased(machine);
 }
 
-void AttemptTracker::eraseFreed(Machine& machine) {
+void AttemptTracker::eraseReleased(Machine& machine) {
   std::erase_if(machine.attempts,
                 [](const Attempt& attempt) { return attempt.phase == AttemptPhase::released; });
 }
--- a/src/service/leader/attempt_tracker.hpp
+++ b/src/service/leader/attempt_tracker.hpp
@@ -23,7 +23,7 @@
   // Releases and erases all attempts of the machine whose placement is not being written.
   void releaseAll(Machine& machine, const char* why);
   // Erases the machine's attempts that are free.
-  static void eraseFreed(Machine& machine);
+  static void eraseReleased(Machine& machine);
 
  private:
   // Changes the phase and keeps the job's count of running tasks.
@@ -39,7 +39,7 @@
   GangCoordinator& gangs_;
   TaskFailurePolicy& failures_;
   CompletionRecords& records_;
-  bool unfamiliarStateLogged_ = false;
+  bool unrecognizedStateLogged_ = false;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -26,10 +26,10 @@
 void Autoscaler::tick() {
   if (!context_.catalog || !state_.holdsLeaderLease()) return;
   // Machines that are up make themselves known first; else a new leader would request the whole fleet again.
-  if (!state_.heardFromWorkers() && !state_.machines.all().empty()) return;
+  if (!state_.firstHeartbeatWindowElapsed() && !state_.machines.all().empty()) return;
   if (sizing_.due(context_.now)) sizingRound();
-  if (context_.now < nextScaleOut_) return;
-  nextScaleOut_ = context_.now + constants::kScaleOutInterval;
+  if (context_.now < nextScaleOutAt_) return;
+  nextScaleOutAt_ = context_.now + constants::kScaleOutInterval;
   fleet::FleetSnapshot snapshot = fleetSnapshot();
   scaleOutForDemand(snapshot);
   for (Machine* machine : fleet::idleScaleIn(snapshot)) lifecycle_.drain(*machine, "idle");
@@ -65,7 +65,8 @@
 void Autoscaler::scaleOutForDemand(fleet::FleetSnapshot& snapshot) {
   for (const fleet::ScaleOutRequest& request : fleet::scaleOutForUnplacedDemand(snapshot)) {
     requestInstances(request.pool, request.count, "unplaced demand");
-    for (const jobs::Job* gang : request.gangs) waitingGangs_[request.pool].insert(gang->spec.ref.text);
+    for (const jobs::Job* gang : request.gangs)
+      gangsAwaitingInstances_[request.pool].insert(gang->spec.ref.text);
     snapshot.pendingRequests[request.pool] += static_cast<std::size_t>(request.count);
   }
   for (const fleet::ScaleOutRequest& request : fleet::scaleOutForReserve(snapshot))
@@ -73,10 +74,10 @@
 }
 
 void Autoscaler::consolidate(const fleet::FleetSnapshot& snapshot) {
-  if (context_.now < nextConsolidation_ ||
-      context_.now - state_.actingSince < constants::kConsolidationMinAge)
+  if (context_.now < nextConsolidationAt_ ||
+      context_.now - state_.recordsLoadedAt < constants::kConsolidationMinAge)
     return;
-  nextConsolidation_ = context_.now + constants::kConsolidationInterval;
+  nextConsolidationAt_ = context_.now + constants::kConsolidationInterval;
   for (Machine* machine : fleet::consolidationScaleIn(snapshot))
     lifecycle_.drain(*machine, "consolidation", DrainMode::graceful);
 }
@@ -89,12 +90,12 @@
 void Autoscaler::onProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts,
                                std::size_t refused) {
   for (const std::string& host : hosts) inventory_.addProvisioned(pool, host);
-  const std::set<std::string> gangs = std::exchange(waitingGangs_[pool], {});
+  const std::set<std::string> gangs = std::exchange(gangsAwaitingInstances_[pool], {});
   if (refused > 0) {
     for (const std::string& ref : gangs)
       if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
         job->gang.scaleOutFellShort(context_.now);
-    refusedUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
+    refusedPoolsUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
   context_.event(Level::info, "instances_provisioned",
@@ -116,8 +117,8 @@
                                 boots_.history()};
   std::erase_if(snapshot.unplaced,
                 [](const placement::UnplacedDemand& demand) { return !demand.job->isOpen(); });
-  std::erase_if(refusedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const auto& [pool, until] : refusedUntil_) snapshot.refusedPools.insert(pool);
+  std::erase_if(refusedPoolsUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
+  for (const auto& [pool, until] : refusedPoolsUntil_) snapshot.refusedPools.insert(pool);
   return snapshot;
 }
 
--- a/src/service/leader/autoscaler.hpp
+++ b/src/service/leader/autoscaler.hpp
@@ -61,10 +61,11 @@
   cloud::Client& cloud_;
   fleet::Sizing sizing_;
   SizingStateStore sizingStore_;
-  std::map<cloud::PoolKey, Time> refusedUntil_;
-  std::map<cloud::PoolKey, std::set<std::string>> waitingGangs_;  // gangs that wait for a pool's instances
-  Time nextScaleOut_{};
-  Time nextConsolidation_{};
+  std::map<cloud::PoolKey, Time> refusedPoolsUntil_;
+  std::map<cloud::PoolKey, std::set<std::string>>
+      gangsAwaitingInstances_;  // gangs that wait for a pool's instances
+  Time nextScaleOutAt_{};
+  Time nextConsolidationAt_{};
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -7,8 +7,8 @@
 }
 
 void BootMonitor::tick() {
-  if (context_.now < nextCheck_) return;
-  nextCheck_ = context_.now + constants::kScaleOutInterval;
+  if (context_.now < nextCheckAt_) return;
+  nextCheckAt_ = context_.now + constants::kScaleOutInterval;
   detectTimeouts();
 }
 
@@ -24,7 +24,7 @@
 void BootMonitor::detectTimeouts() {
   // Heartbeats that were sent while nobody listened arrive first.
   const auto settle = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
-  if (context_.now - state_.listeningSince() < settle) return;
+  if (context_.now - state_.receivingHeartbeatsSince() < settle) return;
   const fleet::BootCohorts cohorts(state_.existingMachines());
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::booting) continue;
--- a/src/service/leader/boot_monitor.hpp
+++ b/src/service/leader/boot_monitor.hpp
@@ -29,7 +29,7 @@
   Context& context_;
   MachineLifecycle& lifecycle_;
   fleet::BootHistory history_;
-  Time nextCheck_{};
+  Time nextCheckAt_{};
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -4,19 +4,19 @@
 
 namespace reachhoist::service {
 
-CompletionRecords::CompletionRecords(LeaderState& state, Hooks hooks)
+CompletionRecords::CompletionRecords(LeaderState& state, Callbacks callbacks)
     : state_(state),
       context_(state.context),
       jobs_(state.jobs),
-      hooks_(std::move(hooks)),
+      callbacks_(std::move(callbacks)),
       finalPhaseWriter_(state.context.state, state.uniquePrefix() + "-f"),
       progressWriter_(state.context.state, state.uniquePrefix() + "-c"),
-      cleaner_(state.context.state, state.uniquePrefix() + "-d") {}
+      deletionWriter_(state.context.state, state.uniquePrefix() + "-d") {}
 
 void CompletionRecords::tick() {
   finalPhaseWriter_.tick(context_.now);
   progressWriter_.tick(context_.now);
-  cleaner_.tick(context_.now);
+  deletionWriter_.tick(context_.now);
 }
 
 void CompletionRecords::write() {
@@ -29,12 +29,12 @@
   markDirty(task.job.text);
 }
 
-void CompletionRecords::forget(const std::string& ref) {
+void CompletionRecords::forgetJob(const std::string& ref) {
   dirtyJobs_.erase(ref);  // takeDirtyChunks() passes over its entry in the queue
   finishedJobs_.erase(ref);
 }
 
-bool CompletionRecords::isDurable(const wire::TaskId& task) const {
+bool CompletionRecords::isCompletionDurable(const wire::TaskId& task) const {
   const jobs::Job* job = jobs_.find(task.job.text);
   if (job == nullptr || !job->isOpen()) return true;
   const std::uint32_t chunk = task.index / constants::kTasksPerDoneChunk;
@@ -87,14 +87,14 @@
   for (const std::string& ref : refs) {
     jobs::Job* job = jobs_.find(ref);
     // Its progress records are obsolete.
-    for (const auto& [chunk, revision] : job->doneRevisions) deleteLater(jobs::doneKey(ref, chunk));
+    for (const auto& [chunk, revision] : job->doneRevisions) markObsolete(jobs::doneKey(ref, chunk));
     const Json record = jobs::encodeFinal(*job, jobs::JobPhase::done);
     if (jobs_.apply(ref, record, outcome.revision) == jobs::JobTable::Change::ended) {
       context_.event(Level::info, "job_done", {{"job", ref}});
-      hooks_.onJobEnded(*jobs_.find(ref));
+      callbacks_.onJobEnded(*jobs_.find(ref));
     }
   }
-  hooks_.onDurable();
+  callbacks_.onCompletionsDurable();
 }
 
 // --- progress ----------------------------------------------------------------------------------------------
@@ -151,20 +151,20 @@
     if (applied && open) {
       job->doneRevisions[chunk] = outcome.revision;
     } else if (applied) {
-      deleteLater(jobs::doneKey(ref, chunk));  // the job has ended meanwhile
+      markObsolete(jobs::doneKey(ref, chunk));  // the job has ended meanwhile
     } else if (open) {
       job->dirtyChunks.insert(chunk);
       markDirty(ref);
     }
   }
   if (!applied) return state_.onTransactionRefused(outcome, "progress");
-  hooks_.onDurable();
+  callbacks_.onCompletionsDurable();
 }
 
 // --- deletion ----------------------------------------------------------------------------------------------
 
-void CompletionRecords::clean() {
-  if (cleaner_.busy() || obsoleteKeys_.empty()) return;
+void CompletionRecords::deleteObsoleteKeys() {
+  if (deletionWriter_.busy() || obsoleteKeys_.empty()) return;
   state::Transaction transaction;
   std::vector<std::string> keys;
   for (const std::string& key : obsoleteKeys_) {
@@ -173,11 +173,13 @@
     keys.push_back(key);
   }
   transaction.conditions = state_.partitionConditions();
-  cleaner_.commit(context_.now, state::Urgency::background, std::move(transaction),
-                  [this, keys](const state::Outcome& outcome) { onCleaned(keys, outcome); });
+  deletionWriter_.commit(
+      context_.now, state::Urgency::background, std::move(transaction),
+      [this, keys](const state::Outcome& outcome) { onObsoleteKeysDeleted(keys, outcome); });
 }
 
-void CompletionRecords::onCleaned(const std::vector<std::string>& keys, const state::Outcome& outcome) {
+void CompletionRecords::onObsoleteKeysDeleted(const std::vector<std::string>& keys,
+                                              const state::Outcome& outcome) {
   if (outcome.verdict != state::Verdict::applied) return state_.onTransactionRefused(outcome, "cleaning");
   for (const std::string& key : keys) obsoleteKeys_.erase(key);
 }
--- a/src/service/leader/completion_records.hpp
+++ b/src/service/leader/completion_records.hpp
@@ -20,12 +20,12 @@
 class CompletionRecords {
  public:
   // All are required.
-  struct Hooks {
+  struct Callbacks {
     std::function<void(jobs::Job&)> onJobEnded;  // the job's final phase is durable
-    std::function<void()> onDurable;             // further completions have become durable
+    std::function<void()> onCompletionsDurable;  // further completions have become durable
   };
 
-  CompletionRecords(LeaderState& state, Hooks hooks);
+  CompletionRecords(LeaderState& state, Callbacks callbacks);
   CompletionRecords(const CompletionRecords&) = delete;
 
   // A task of an open job has completed.
@@ -33,18 +33,18 @@
   // All tasks of the open job have completed.
   void jobFinished(const std::string& ref) { finishedJobs_.insert(ref); }
   // Whether the task's completion survives this leader.
-  bool isDurable(const wire::TaskId& task) const;
+  bool isCompletionDurable(const wire::TaskId& task) const;
   // The job has ended: nothing of it has to be written any more.
-  void forget(const std::string& ref);
+  void forgetJob(const std::string& ref);
   // The stored key is obsolete.
-  void deleteLater(const std::string& key) { obsoleteKeys_.insert(key); }
+  void markObsolete(const std::string& key) { obsoleteKeys_.insert(key); }
 
   // Goes on with the transactions in flight.
   void tick();
   // Begins transactions for final phases and progress.
   void write();
   // Begins a transaction that deletes obsolete keys.
-  void clean();
+  void deleteObsoleteKeys();
 
  private:
   // A chunk of constants::kTasksPerDoneChunk tasks of a job.
@@ -63,15 +63,15 @@
   std::vector<ChunkId> takeDirtyChunks();
   void addChunk(state::Transaction& transaction, const ChunkId& id) const;
   void onProgressWritten(const std::vector<ChunkId>& chunks, const state::Outcome& outcome);
-  void onCleaned(const std::vector<std::string>& keys, const state::Outcome& outcome);
+  void onObsoleteKeysDeleted(const std::vector<std::string>& keys, const state::Outcome& outcome);
 
   LeaderState& state_;
   Context& context_;
   jobs::JobTable& jobs_;
-  Hooks hooks_;
+  Callbacks callbacks_;
   state::Committer finalPhaseWriter_;
   state::Committer progressWriter_;
-  state::Committer cleaner_;
+  state::Committer deletionWriter_;
   std::set<std::string> finishedJobs_;  // jobs whose final phase is not durable
   std::set<std::string> dirtyJobs_;     // jobs with completions that are not durable
   std::deque<std::string> dirtyQueue_;  // the same, longest dirty first, and some that are clean already
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -10,19 +10,19 @@
 }  // namespace
 
 void FailureDetector::tick() {
-  if (context_.now < nextCheck_ || !state_.confirmedSinceResume()) return;
-  nextCheck_ = context_.now + constants::kTickInterval * kTicksPerCheck;
-  prober_.probeUnheard();
+  if (context_.now < nextCheckAt_ || !state_.confirmedSinceResume()) return;
+  nextCheckAt_ = context_.now + constants::kTickInterval * kTicksPerCheck;
+  prober_.sendTakeoverProbes();
   partitions_.observe(state_.machines, context_.now);
-  const auto listeningFor = context_.now - state_.listeningSince();
-  const bool settled = listeningFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
+  const auto receivingFor = context_.now - state_.receivingHeartbeatsSince();
+  const bool settled = receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
                        state_.holdsLeaderLease();
   if (partitions_.mostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
-  taskFailures_.reviewFaultyJobs();
+  taskFailures_.clearRecoveredJobs();
   for (auto& [host, machine] : state_.machines.all())
     if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, settled);
-  if (listeningFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) &&
+  if (receivingFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) &&
       state_.holdsLeaderLease())
     failover_.moveServices();
 }
@@ -46,13 +46,13 @@
   // Machines that are all dead would not come to the next leader either; siblings that are silent as well
   // tell a network partition from that.
   if (siblingsSilent && partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
-      context_.now - state_.listeningSince() > constants::kNewLeaderContactTimeout)
+      context_.now - state_.receivingHeartbeatsSince() > constants::kNewLeaderContactTimeout)
     return "no heartbeats at all";
   return nullptr;
 }
 
 void FailureDetector::checkMachine(const std::string& host, Machine& machine, bool settled) {
-  taskFailures_.quarantineIfFaulty(machine);
+  taskFailures_.evaluateQuarantine(machine);
   const bool leaseExpired = checkLease(host, machine);
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   if (settled) checkHeartbeats(machine, leaseExpired);
--- a/src/service/leader/failure_detector.hpp
+++ b/src/service/leader/failure_detector.hpp
@@ -55,7 +55,7 @@
   WorkerProber& prober_;
   ServiceFailover& failover_;
   PartitionDetector& partitions_;
-  Time nextCheck_{};
+  Time nextCheckAt_{};
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr int kMaxBackoffDoublings = 6;
 
-bool attemptInProgress(const jobs::Job& job) {
+bool isAttemptInProgress(const jobs::Job& job) {
   const GangState phase = job.gang.state;
   return phase == GangState::reserving || phase == GangState::gathering || phase == GangState::running;
 }
@@ -54,7 +54,7 @@
   setState(job, GangState::reserving, "capacity for all");
 }
 
-bool GangCoordinator::mayStart(const Attempt& attempt) {
+bool GangCoordinator::canStart(const Attempt& attempt) {
   const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   return job != nullptr && job->isOpen() && job->gang.attemptNumber == attempt.number &&
          job->gang.state == GangState::gathering;
@@ -69,7 +69,7 @@
   if (recorded < job.spec.taskCount) return;
   setState(job, GangState::gathering, "all places are durable");
   state_.forEachAttempt(job.spec.ref.text,
-                        [this](Machine& machine, Attempt&) { commands_.markDue(machine); });
+                        [this](Machine& machine, Attempt&) { commands_.requestDirectCall(machine); });
 }
 
 void GangCoordinator::onTaskRunning(jobs::Job& job) {
@@ -87,7 +87,7 @@
 
 void GangCoordinator::onTaskLost(jobs::Job& job, const Attempt& attempt, const char* why) {
   if (!job.isGang() || !job.isOpen() || attempt.number != job.gang.attemptNumber) return;
-  if (!attemptInProgress(job)) return;
+  if (!isAttemptInProgress(job)) return;
   setState(job, GangState::clearing, why);
   ++job.gang.consecutiveFailures;
   const auto backoff =
@@ -107,22 +107,22 @@
   state_.requestPlacementRound();
 }
 
-void GangCoordinator::stop(Machine& machine, Attempt& attempt, double gracePeriodS, double leftS,
+void GangCoordinator::stop(Machine& machine, Attempt& attempt, double gracePeriodS, double stopTimeLimitS,
                            const char* why) {
   if (attempt.isGangMember) {
-    stopGang(attempt.task.job.text, leftS, why);
+    stopGang(attempt.task.job.text, stopTimeLimitS, why);
   } else {
     commands_.stop(machine, attempt, gracePeriodS);
   }
 }
 
-void GangCoordinator::stopGang(const std::string& ref, double leftS, const char* why) {
+void GangCoordinator::stopGang(const std::string& ref, double stopTimeLimitS, const char* why) {
   jobs::Job* job = state_.jobs.find(ref);
   if (job == nullptr || !job->isOpen() || !job->isGang()) return;
-  if (!attemptInProgress(*job)) return;
+  if (!isAttemptInProgress(*job)) return;
   const double gracePeriodS = job->spec.checkpointDurationS + constants::kCheckpointGraceMarginS;
-  const bool saves =
-      job->gang.state == GangState::running && job->spec.checkpointIntervalS > 0 && gracePeriodS < leftS;
+  const bool saves = job->gang.state == GangState::running && job->spec.checkpointIntervalS > 0 &&
+                     gracePeriodS < stopTimeLimitS;
   setState(*job, GangState::stopping, why);
   state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
     if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? gracePeriodS : 0);
--- a/src/service/leader/gang_coordinator.hpp
+++ b/src/service/leader/gang_coordinator.hpp
@@ -25,7 +25,7 @@
   // Begins an attempt, under this attempt number, by reserving the placements of its tasks.
   void beginAttempt(jobs::Job& job, std::uint64_t number);
   // Whether the attempt belongs to a gang attempt whose placements are all durable.
-  bool mayStart(const Attempt& attempt);
+  bool canStart(const Attempt& attempt);
 
   // Placements of the gang's tasks have become durable.
   void onTasksRecorded(jobs::Job& job);
@@ -39,13 +39,13 @@
   void complete(jobs::Job& job);
 
   // Stops the attempt, or all tasks of its gang at once. `gracePeriodS`: time to checkpoint for a single
-  // task; `leftS`: time that the gang has left for its checkpoint. Both in seconds.
-  void stop(Machine& machine, Attempt& attempt, double gracePeriodS, double leftS, const char* why);
+  // task; `stopTimeLimitS`: time that the gang has left for its checkpoint. Both in seconds.
+  void stop(Machine& machine, Attempt& attempt, double gracePeriodS, double stopTimeLimitS, const char* why);
 
  private:
   void setState(jobs::Job& job, jobs::GangState next, const char* why);
   // All tasks are told at once, with time to checkpoint if there is so much left.
-  void stopGang(const std::string& ref, double leftS, const char* why);
+  void stopGang(const std::string& ref, double stopTimeLimitS, const char* why);
 
   LeaderState& state_;
   Context& context_;
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -19,14 +19,14 @@
 HeartbeatResponse HeartbeatProcessor::onHeartbeat(const wire::WorkerHeartbeat& heartbeat,
                                                   HeartbeatSource source) {
   if (state_.resigned()) return {};
-  if (!state_.mayRenewLeases()) {
+  if (!state_.canRenewLeases()) {
     // The machine is alive all the same: those that kept sending during a long outage of the key-value store
     // are not given up afterwards.
     Machine* known = state_.machines.find(heartbeat.host.text);
     if (known != nullptr && isNewer(*known, heartbeat)) known->contact.lastHeartbeatAt = context_.now;
     return {};
   }
-  if (!mayAnswer(heartbeat)) return {};
+  if (!canAnswer(heartbeat)) return {};
   Machine& machine = findOrAdd(heartbeat.host.text);
   if (!isNewer(machine, heartbeat)) return {};
   if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::terminated) return {};
@@ -35,16 +35,16 @@
   machine.contact.unreachable = false;
   machine.contact.lastHeartbeatAt = context_.now;
   machine.contact.leaseRenewedAt = std::max(machine.contact.leaseRenewedAt, context_.now);
-  const auto commands = commands_.commandsFor(machine, source, heartbeat.sequence);
+  const auto commands = commands_.takeDueCommands(machine, source, heartbeat.sequence);
   return HeartbeatResponse{200, wire::encodeCommands(commands_.fencingTokenOf(machine), commands)};
 }
 
-bool HeartbeatProcessor::mayAnswer(const wire::WorkerHeartbeat& heartbeat) const {
+bool HeartbeatProcessor::canAnswer(const wire::WorkerHeartbeat& heartbeat) const {
   // A worker that has seen a later term drops this leader's answers, and a 200 would only keep it here until
   // its lease has expired.
   if (heartbeat.fencingToken >= cluster::fencingToken(state_.term + 1, 0)) return false;
   // A released host is gone: this is a delayed heartbeat, and must not add the machine again.
-  return !inventory_.recentlyReleased(heartbeat.host.text);
+  return !inventory_.wasRecentlyReleased(heartbeat.host.text);
 }
 
 Machine& HeartbeatProcessor::findOrAdd(const std::string& host) {
@@ -84,11 +84,11 @@
   applySpotNotice(machine, heartbeat);
   for (const wire::TaskStatus& status : heartbeat.tasks) {
     Attempt* attempt = machine.find(status.task, status.attempt);
-    if (attempt == nullptr) attempt = &addStrayAttempt(machine, status);
+    if (attempt == nullptr) attempt = &addUnknownAttempt(machine, status);
     attempts_.applyStatus(machine, *attempt, status);
   }
   if (source != HeartbeatSource::direct) reconcileMissingAttempts(machine, heartbeat);
-  AttemptTracker::eraseFreed(machine);
+  AttemptTracker::eraseReleased(machine);
   if (!machine.empty()) machine.idleSince = context_.now;
 }
 
@@ -104,7 +104,7 @@
     if (machine.incarnation != 0 && attempt.phase != AttemptPhase::planned && !unreported)
       attempts_.release(machine, attempt, "new incarnation");
   }
-  AttemptTracker::eraseFreed(machine);
+  AttemptTracker::eraseReleased(machine);
   machine.incarnation = heartbeat.incarnation;
   // The lease of the new incarnation counts from its beginning, whether or not any of its heartbeats was
   // answered: tasks that direct commands start in it go on for that long.
@@ -114,7 +114,7 @@
 
 void HeartbeatProcessor::applyFencingToken(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   machine.workerToken = std::max(machine.workerToken, heartbeat.fencingToken);
-  commands_.noteAcknowledgedToken(machine);
+  commands_.updateTokenAcknowledgement(machine);
   for (Attempt& attempt : machine.attempts) {
     // Once the worker has seen a higher token, it answers the old command with 409 only.
     if (attempt.unresolvedStartToken && machine.workerToken > *attempt.unresolvedStartToken)
@@ -130,7 +130,7 @@
   lifecycle_.evictForSpotNotice(machine);
 }
 
-Attempt& HeartbeatProcessor::addStrayAttempt(Machine& machine, const wire::TaskStatus& status) {
+Attempt& HeartbeatProcessor::addUnknownAttempt(Machine& machine, const wire::TaskStatus& status) {
   // Every start is recorded first, so this attempt has been released and must not go on.
   Attempt stray;
   stray.task = status.task;
@@ -156,11 +156,11 @@
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const wire::TaskStatus& status) {
           return status.attempt == attempt.number && status.task == attempt.task;
         });
-    if (!present) reconcileMissing(machine, attempt, heartbeat.sequence);
+    if (!present) reconcileMissingAttempt(machine, attempt, heartbeat.sequence);
   }
 }
 
-void HeartbeatProcessor::reconcileMissing(Machine& machine, Attempt& attempt, std::uint64_t sequence) {
+void HeartbeatProcessor::reconcileMissingAttempt(Machine& machine, Attempt& attempt, std::uint64_t sequence) {
   if (attempt.phase == AttemptPhase::planned) return;
   // A direct start may still take effect.
   if (attempt.directCommandsInFlight > 0 || attempt.unresolvedStartToken) return;
--- a/src/service/leader/heartbeat_processor.hpp
+++ b/src/service/leader/heartbeat_processor.hpp
@@ -39,17 +39,17 @@
 
  private:
   // Whether the heartbeat is from a worker that this leader may answer.
-  bool mayAnswer(const wire::WorkerHeartbeat& heartbeat) const;
+  bool canAnswer(const wire::WorkerHeartbeat& heartbeat) const;
   Machine& findOrAdd(const std::string& host);
   void applyMachineFields(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void onNewIncarnation(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void applyFencingToken(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void applySpotNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   // Adds an attempt that was reported but is not known, to be stopped.
-  Attempt& addStrayAttempt(Machine& machine, const wire::TaskStatus& status);
+  Attempt& addUnknownAttempt(Machine& machine, const wire::TaskStatus& status);
   // Releases attempts that the heartbeat proves absent from the machine.
   void reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-  void reconcileMissing(Machine& machine, Attempt& attempt, std::uint64_t sequence);
+  void reconcileMissingAttempt(Machine& machine, Attempt& attempt, std::uint64_t sequence);
 
   LeaderState& state_;
   Context& context_;
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Heartbeat intervals after which a machine listed as running should have been heard from.
-constexpr double kListedSilentHeartbeats = 4;
+constexpr double kHeartbeatsMissedAfterListing = 4;
 }  // namespace
 
 void InstanceInventory::addProvisioned(const cloud::PoolKey& pool, const std::string& host) {
@@ -34,17 +34,17 @@
     // A placement whose transaction is in flight finds no machine to start on, as it should.
     for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine terminated");
     state_.machines.remove(host);
-    releasedUntil_[host] = context_.now + constants::kReleasedHostRetention;
+    releaseRetentionUntil_[host] = context_.now + constants::kReleasedHostRetention;
   }
   state_.requestPlacementRound();
 }
 
 void InstanceInventory::onListed(const std::vector<wire::InstanceEntry>& hosts) {
-  std::erase_if(releasedUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
+  std::erase_if(releaseRetentionUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
   for (const wire::InstanceEntry& entry : hosts) {
     Machine* machine = state_.machines.find(entry.host.text);
     if (machine == nullptr) {
-      if (recentlyReleased(entry.host.text)) continue;
+      if (wasRecentlyReleased(entry.host.text)) continue;
       machine = &addListed(entry);
     }
     reconcile(*machine, entry);
@@ -80,9 +80,9 @@
     // heartbeats.
     if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
     const double lagS = 2 * context_.settings.cloudLimits.listLagS;
-    const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.listeningSince());
+    const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.receivingHeartbeatsSince());
     if (wire::toSeconds(unheardFor) >
-        lagS + kListedSilentHeartbeats * context_.settings.workers.heartbeatIntervalS)
+        lagS + kHeartbeatsMissedAfterListing * context_.settings.workers.heartbeatIntervalS)
       lifecycle_.decommission(machine, "running without heartbeats");
   }
 }
--- a/src/service/leader/instance_inventory.hpp
+++ b/src/service/leader/instance_inventory.hpp
@@ -26,7 +26,7 @@
   // Reconciles the table with the cloud's instance list.
   void onListed(const std::vector<wire::InstanceEntry>& hosts);
   // Whether the host was released so recently that late heartbeats and older lists may still name it.
-  bool recentlyReleased(const std::string& host) const { return releasedUntil_.contains(host); }
+  bool wasRecentlyReleased(const std::string& host) const { return releaseRetentionUntil_.contains(host); }
 
  private:
   // Adds a listed host that no record and no answer of the cloud has named.
@@ -37,7 +37,7 @@
   Context& context_;
   MachineLifecycle& lifecycle_;
   AttemptTracker& attempts_;
-  std::map<std::string, Time> releasedUntil_;  // released hosts, remembered until then
+  std::map<std::string, Time> releaseRetentionUntil_;  // released hosts, remembered until then
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr const char* kJobKeyPrefix = "jobs/";
 // Heartbeat intervals within which a live worker finds a new leader.
-constexpr double kFirstHeartbeats = 1.5;
+constexpr double kFirstHeartbeatIntervals = 1.5;
 
 std::size_t valueSizeLimitOf(const config::Settings& settings) {
   return static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxBatchFill);
@@ -41,7 +41,7 @@
 // While this process stood still another leader may have been elected.
 bool LeaderState::confirmedSinceResume() const { return confirmedAt() >= context.resumedAt; }
 
-bool LeaderState::mayRenewLeases() const {
+bool LeaderState::canRenewLeases() const {
   return confirmedSinceResume() && context.now - confirmedAt() < context.settings.answerWindow();
 }
 
@@ -49,8 +49,8 @@
   return confirmedSinceResume() && context.now - confirmedAt() < constants::kLeaderLeaseTtl;
 }
 
-bool LeaderState::heardFromWorkers() const {
-  return context.now - actingSince >= heartbeatTimeout(kFirstHeartbeats, 1);
+bool LeaderState::firstHeartbeatWindowElapsed() const {
+  return context.now - recordsLoadedAt >= heartbeatTimeout(kFirstHeartbeatIntervals, 1);
 }
 
 std::vector<state::Condition> LeaderState::partitionConditions() const {
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -44,7 +44,7 @@
   bool resigned() const { return resigned_; }
 
   // Whether the leadership and the job feed were confirmed recently enough to renew worker leases.
-  bool mayRenewLeases() const;
+  bool canRenewLeases() const;
   // Whether the leadership was confirmed so recently that no other controller can lead yet. Required for
   // whatever costs money or gives up machines: a leader behind a network partition would do it beside the
   // next one.
@@ -52,9 +52,9 @@
   // Whether the key-value store has confirmed the leadership since this process last stood still.
   bool confirmedSinceResume() const;
   // Since when heartbeats could arrive without interruption.
-  Time listeningSince() const { return std::max(actingSince, context.resumedAt); }
+  Time receivingHeartbeatsSince() const { return std::max(recordsLoadedAt, context.resumedAt); }
   // Whether all live workers have had the time for a heartbeat to this leader.
-  bool heardFromWorkers() const;
+  bool firstHeartbeatWindowElapsed() const;
   // The time that so many missed heartbeats take, plus a margin in seconds.
   wire::Duration heartbeatTimeout(double missedHeartbeats, double marginS) const {
     return wire::seconds(context.settings.workers.heartbeatIntervalS * missedHeartbeats + marginS);
@@ -83,7 +83,7 @@
   jobs::JobTable& jobs;
   const std::uint64_t term;
   const Time electedAt;
-  Time actingSince{};                // when the records had been loaded
+  Time recordsLoadedAt{};            // when the records had been loaded
   const std::size_t valueSizeLimit;  // bytes that one stored value may hold, in JSON form
   machines::MachineTable machines;
   machines::PlacementBatchTable batches;
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -45,16 +45,16 @@
 }
 
 void MachineLifecycle::evictForSpotNotice(Machine& machine) {
-  const double leftS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
+  const double timeUntilReclaimS = wire::toSeconds(*machine.spotNoticeAt - context_.now);
   for (Attempt& attempt : machine.attempts) {
     if (!attempt.holdsCapacity() || attempt.phase == AttemptPhase::planned) continue;
     const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
     const double expectedRunTimeS = job != nullptr ? job->spec.expectedRunTimeS : 0;
     const bool running = attempt.phase == AttemptPhase::running;
     const double ranS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
-    const bool endsInTime = !attempt.isService && running && expectedRunTimeS - ranS < leftS;
+    const bool endsInTime = !attempt.isService && running && expectedRunTimeS - ranS < timeUntilReclaimS;
     if (endsInTime) continue;
-    gangs_.stop(machine, attempt, attempt.stopGraceS(), leftS, "spot notice");
+    gangs_.stop(machine, attempt, attempt.stopGraceS(), timeUntilReclaimS, "spot notice");
   }
 }
 
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -42,7 +42,7 @@
   // applied they are released to the cloud.
   void writeDecommissioning();
   // The stored record has been loaded and has this revision.
-  void loadedRecord(std::uint64_t revision) { revision_ = revision; }
+  void setStoredRevision(std::uint64_t revision) { revision_ = revision; }
 
  private:
   void onDecommissioningWritten(const std::vector<std::string>& hosts, const state::Outcome& outcome);
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -23,9 +23,9 @@
   Round round;
   reserveRemainingGangTasks(round);
   const bool due = state_.placementRoundRequested || context_.now >= replanAt_;
-  if (round.batches.empty() && due && context_.now >= nextPlan_ && context_.catalog) {
+  if (round.batches.empty() && due && context_.now >= nextPlanAt_ && context_.catalog) {
     state_.placementRoundRequested = false;
-    takeAssignments(plan().assignments, round);
+    addAssignments(plan().assignments, round);
   }
   addStaleBatches(round);
   if (!round.batches.empty()) commit(round);
@@ -33,7 +33,7 @@
 
 void PlacementScheduler::updateShares() {
   shares_.tick();
-  if (shares_.tableChanged()) state_.requestPlacementRound();
+  if (shares_.hasNewTable()) state_.requestPlacementRound();
 }
 
 // --- decisions ---------------------------------------------------------------------------------------------
@@ -68,7 +68,7 @@
   unplaced_ = std::move(plan.unplaced);
   // Waiting work is looked at again when something has changed, or when time alone may have changed it.
   const bool idle = plan.assignments.empty() && plan.preemptions.empty();
-  nextPlan_ = context_.now + (idle ? constants::kIdleRoundInterval : constants::kMinRoundInterval);
+  nextPlanAt_ = context_.now + (idle ? constants::kIdleRoundInterval : constants::kMinRoundInterval);
   replanAt_ = context_.now + constants::kReplanInterval;
   preempt(plan.preemptions);
   return plan;
@@ -86,7 +86,7 @@
 bool PlacementScheduler::mayPreemptForShares() const {
   // Before a new leader has heard from the workers, all tasks look freshly started, and those that an earlier
   // leader has stopped look as if they went on.
-  return state_.heardFromWorkers() && state_.holdsLeaderLease();
+  return state_.firstHeartbeatWindowElapsed() && state_.holdsLeaderLease();
 }
 
 // --- batches of the round ----------------------------------------------------------------------------------
@@ -98,13 +98,13 @@
     bool complete = true;
     state_.forEachAttempt(*at, [&](Machine& machine, Attempt& attempt) {
       if (attempt.phase != AttemptPhase::planned || attempt.batch) return;
-      if (!reserveGangTask(machine, attempt, round)) complete = false;
+      if (!tryReserveGangTask(machine, attempt, round)) complete = false;
     });
     at = complete ? reservingGangs_.erase(at) : std::next(at);
   }
 }
 
-bool PlacementScheduler::reserveGangTask(Machine& machine, Attempt& attempt, Round& round) {
+bool PlacementScheduler::tryReserveGangTask(Machine& machine, Attempt& attempt, Round& round) {
   if (attempt.stopRequested || machine.phase != MachinePhase::up) {
     attempts_.release(machine, attempt, "not placed");
     machine.transactionInFlight =
@@ -120,18 +120,17 @@
   return true;
 }
 
-void PlacementScheduler::takeAssignments(const std::vector<placement::Assignment>& assignments,
-                                         Round& round) {
+void PlacementScheduler::addAssignments(const std::vector<placement::Assignment>& assignments, Round& round) {
   if (assignments.empty()) return;
   state_.batches.recountBytes(state_.machines);
   for (const placement::Assignment& assignment : assignments) {
-    if (takeAssignment(assignment, round)) continue;
+    if (tryAddAssignment(assignment, round)) continue;
     state_.requestPlacementRound();  // the others go with the next round
     return;
   }
 }
 
-bool PlacementScheduler::takeAssignment(const placement::Assignment& assignment, Round& round) {
+bool PlacementScheduler::tryAddAssignment(const placement::Assignment& assignment, Round& round) {
   jobs::Job& job = *assignment.job;
   Machine& machine = *assignment.machine;
   Attempt attempt;
@@ -159,7 +158,7 @@
 
 void PlacementScheduler::addStaleBatches(Round& round) {
   // They are written along with others, or by themselves after a while.
-  if (state_.staleBatches.empty() || (round.batches.empty() && context_.now < nextCleanup_)) return;
+  if (state_.staleBatches.empty() || (round.batches.empty() && context_.now < nextCleanupAt_)) return;
   state_.batches.recountBytes(state_.machines);
   for (auto at = state_.staleBatches.begin();
        at != state_.staleBatches.end() && round.batches.size() < constants::kMaxBatchesPerRound;) {
@@ -176,7 +175,7 @@
 // --- transaction -------------------------------------------------------------------------------------------
 
 void PlacementScheduler::commit(const Round& round) {
-  nextCleanup_ = context_.now + constants::kBatchCleanupInterval;
+  nextCleanupAt_ = context_.now + constants::kBatchCleanupInterval;
   state::Transaction transaction;
   HostsByBatch hostsByBatch;
   for (auto& [number, value] : state_.batches.encode(state_.machines, round.batches)) {
@@ -227,11 +226,11 @@
       continue;
     }
     attempt.setPhase(AttemptPhase::recorded, context_.now);
-    commands_.markDue(machine);
+    commands_.requestDirectCall(machine);
     if (context_.logs(Level::debug))
       context_.event(Level::debug, "placed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   }
-  AttemptTracker::eraseFreed(machine);
+  AttemptTracker::eraseReleased(machine);
   if (!machine.empty()) machine.idleSince = context_.now;
 }
 
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -51,11 +51,11 @@
   // Places gang tasks that did not fit into the batches of the round that decided on them.
   void reserveRemainingGangTasks(Round& round);
   // Whether the gang task is settled for this round; false if the round's batches are full.
-  bool reserveGangTask(Machine& machine, Attempt& attempt, Round& round);
+  bool tryReserveGangTask(Machine& machine, Attempt& attempt, Round& round);
   // Takes the assignments for which the round's batches have capacity.
-  void takeAssignments(const std::vector<placement::Assignment>& assignments, Round& round);
+  void addAssignments(const std::vector<placement::Assignment>& assignments, Round& round);
   // False if the round's batches are full.
-  bool takeAssignment(const placement::Assignment& assignment, Round& round);
+  bool tryAddAssignment(const placement::Assignment& assignment, Round& round);
   // Adds batches to the round that name terminated machines.
   void addStaleBatches(Round& round);
   void commit(const Round& round);
@@ -75,9 +75,9 @@
   std::uint64_t attemptCount_ = 0;
   std::vector<placement::UnplacedDemand> unplaced_;
   std::set<std::string> reservingGangs_;  // gangs with tasks whose placement is in no transaction yet
-  Time nextPlan_{};
+  Time nextPlanAt_{};
   Time replanAt_{};
-  Time nextCleanup_{};
+  Time nextCleanupAt_{};
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -20,14 +20,14 @@
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   world.shares = &*context_.shares;
-  world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemption_;
+  world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemptionAt_;
 }
 
 void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
   // The search walks over all machines: what it could not find now is not searched for in every round.
-  if (plan.triedSharePreemption) nextPreemption_ = context_.now + constants::kReplanInterval;
+  if (plan.triedSharePreemption) nextPreemptionAt_ = context_.now + constants::kReplanInterval;
   if (plan.sharePreemptions == 0) return;
-  nextPreemption_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
+  nextPreemptionAt_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
   context_.event(Level::info, "share_preemption",
                  {{"stops", plan.sharePreemptions}, {"generation", generation_}});
 }
@@ -55,8 +55,8 @@
 }
 
 void RoundShares::tick() {
-  if (!context_.shares || !state_.holdsLeaderLease() || context_.now < nextStatus_) return;
-  nextStatus_ = context_.now + constants::kShareStatusInterval;
+  if (!context_.shares || !state_.holdsLeaderLease() || context_.now < nextStatusAt_) return;
+  nextStatusAt_ = context_.now + constants::kShareStatusInterval;
   Json current = status();
   if (current == writtenStatus_) return;
   state::Transaction transaction;
--- a/src/service/leader/round_shares.hpp
+++ b/src/service/leader/round_shares.hpp
@@ -20,7 +20,7 @@
   // After the round.
   void onPlanned(const placement::PlacementPlan& plan);
   // Whether a table is in force that no round has used.
-  bool tableChanged() const { return context_.shares && context_.shares->generation != generation_; }
+  bool hasNewTable() const { return context_.shares && context_.shares->generation != generation_; }
   // Writes the status when it is due and has changed, while the leader lease is held.
   void tick();
 
@@ -30,8 +30,8 @@
   LeaderState& state_;
   Context& context_;
   std::uint64_t generation_ = 0;  // of the table in the latest round
-  Time nextPreemption_{};
-  Time nextStatus_{};
+  Time nextPreemptionAt_{};
+  Time nextStatusAt_{};
   Json writtenStatus_;
 };
 
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -7,15 +7,15 @@
 
 namespace reachhoist::service {
 
-bool ServiceFailover::isPlacedService(const Attempt& attempt) {
+bool ServiceFailover::isPlacedHighPriority(const Attempt& attempt) {
   return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopRequested &&
          attempt.priority >= wire::Priority::high;
 }
 
-double ServiceFailover::serviceCpus(const Machine& machine) {
+double ServiceFailover::placedHighPriorityVcpus(const Machine& machine) {
   double cpus = 0;
   for (const Attempt& attempt : machine.attempts)
-    if (isPlacedService(attempt)) cpus += attempt.resources.vcpus;
+    if (isPlacedHighPriority(attempt)) cpus += attempt.resources.vcpus;
   return cpus;
 }
 
@@ -24,7 +24,7 @@
          partitions_.contains(machine.zone);
 }
 
-double ServiceFailover::capacityForServices() const {
+double ServiceFailover::vcpusForServices() const {
   double capacity = 0;
   for (const auto& [host, machine] : state_.machines.all()) {
     const bool reachable = machine.phase == MachinePhase::up && machine.contact.tokenAcknowledged &&
@@ -34,7 +34,7 @@
     if (machine.phase != MachinePhase::decommissioning && machine.phase != MachinePhase::terminating)
       continue;
     for (const Attempt& attempt : machine.attempts)
-      if (isPlacedService(attempt)) capacity -= attempt.resources.vcpus;
+      if (isPlacedHighPriority(attempt)) capacity -= attempt.resources.vcpus;
   }
   for (const placement::UnplacedDemand& unmet : scheduler_.unplaced())
     if (unmet.job->spec.priority >= wire::Priority::high)
@@ -44,7 +44,7 @@
 
 void ServiceFailover::moveServices() {
   if (partitions_.zones().empty() || partitions_.selfPartitioned()) return;
-  double capacity = capacityForServices();
+  double capacity = vcpusForServices();
   const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   // A machine not heard from in this term may have been partitioned from the earlier leader for long.
   const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
@@ -52,7 +52,7 @@
     if (!isPartitioned(machine)) continue;
     const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
     if (context_.now - machine.contact.lastHeartbeatAt < patience) continue;
-    const double cpus = serviceCpus(machine);
+    const double cpus = placedHighPriorityVcpus(machine);
     if (cpus == 0 || cpus > capacity) continue;
     capacity -= cpus;
     lifecycle_.decommission(machine, "network partition");
@@ -65,7 +65,7 @@
   for (const auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
     for (const Attempt& attempt : machine.attempts)
-      if (isPlacedService(attempt)) ++tasksByJob[attempt.task.job.text];
+      if (isPlacedHighPriority(attempt)) ++tasksByJob[attempt.task.job.text];
   }
   std::vector<placement::UnplacedDemand> out;
   for (const auto& [ref, tasks] : tasksByJob)
--- a/src/service/leader/service_failover.hpp
+++ b/src/service/leader/service_failover.hpp
@@ -32,11 +32,11 @@
 
  private:
   // An attempt of high priority that is placed and not being stopped.
-  static bool isPlacedService(const Attempt& attempt);
+  static bool isPlacedHighPriority(const Attempt& attempt);
   // vCPUs of the machine's placed services.
-  static double serviceCpus(const Machine& machine);
+  static double placedHighPriorityVcpus(const Machine& machine);
   // vCPUs on reachable on-demand machines that are free for services to move to.
-  double capacityForServices() const;
+  double vcpusForServices() const;
   bool isPartitioned(const Machine& machine) const;
 
   LeaderState& state_;
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 void SizingStateStore::load() {
-  nextSave_ = context_.now + constants::kSizingStateSaveInterval;
+  nextSaveAt_ = context_.now + constants::kSizingStateSaveInterval;
   context_.state.get(context_.now, state::Urgency::completion, kSizingStateKey,
                      guard_.wrap([this](const wire::CallResult& result) {
                        if (!result.ok()) return;
@@ -20,8 +20,8 @@
 }
 
 void SizingStateStore::tick() {
-  if (context_.now < nextSave_) return;
-  nextSave_ = context_.now + constants::kSizingStateSaveInterval;
+  if (context_.now < nextSaveAt_) return;
+  nextSaveAt_ = context_.now + constants::kSizingStateSaveInterval;
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
   transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
--- a/src/service/leader/sizing_state_store.hpp
+++ b/src/service/leader/sizing_state_store.hpp
@@ -23,7 +23,7 @@
   LeaderState& state_;
   Context& context_;
   fleet::Sizing& sizing_;
-  Time nextSave_{};
+  Time nextSaveAt_{};
   state::CallbackGuard guard_;
 };
 
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -33,7 +33,7 @@
       retryAt_(state.context.now) {}
 
 bool StateLoader::tick() {
-  if (missing_.empty()) {
+  if (unreadKinds_.empty()) {
     apply();
     return true;
   }
@@ -43,7 +43,7 @@
 
 void StateLoader::startReads() {
   retryAt_ = context_.now + constants::kStateLoadTimeout;
-  const auto missing = missing_;
+  const auto missing = unreadKinds_;
   for (const RecordKind kind : missing) startRead(kind);
 }
 
@@ -71,7 +71,7 @@
   state_.jobFeed.confirm(context_.now, guard_.wrap([this](bool ok) {
     --readsInFlight_;
     if (ok) {
-      missing_.erase(RecordKind::jobs);
+      unreadKinds_.erase(RecordKind::jobs);
     } else {
       retryAt_ = context_.now + constants::kStateBackoff;
     }
@@ -118,7 +118,7 @@
   }
   const bool more = wire::flagField(result.body, "more").value_or(false);
   if (more && !last.empty()) return listRecords(kind, last);
-  missing_.erase(kind);
+  unreadKinds_.erase(kind);
 }
 
 void StateLoader::adoptRecord(RecordKind kind, const std::string& name, const Json& value,
@@ -148,7 +148,7 @@
 }
 
 void StateLoader::adoptDecommissioning(const Json& value, std::uint64_t revision) {
-  lifecycle_.loadedRecord(revision);
+  lifecycle_.setStoredRevision(revision);
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_array()) {
     context_.event(Level::error, "bad_record", {{"key", kDecommissioningKey}});
@@ -216,7 +216,7 @@
   for (const CompletionChunk& record : completionChunks_) {
     jobs::Job* job = state_.jobs.find(record.ref);
     if (job == nullptr || !job->isOpen()) {
-      records_.deleteLater(jobs::doneKey(record.ref, record.chunk));
+      records_.markObsolete(jobs::doneKey(record.ref, record.chunk));
     } else if (!job->loadDoneChunk(record.chunk, record.hex, record.revision, context_.now)) {
       context_.event(Level::error, "bad_record", {{"key", jobs::doneKey(record.ref, record.chunk)}});
     }
--- a/src/service/leader/state_loader.hpp
+++ b/src/service/leader/state_loader.hpp
@@ -65,8 +65,8 @@
   GangCoordinator& gangs_;
   MachineLifecycle& lifecycle_;
   cloud::Client& cloud_;
-  std::set<RecordKind> missing_{RecordKind::completions, RecordKind::jobs, RecordKind::placementBatches,
-                                RecordKind::decommissioning};
+  std::set<RecordKind> unreadKinds_{RecordKind::completions, RecordKind::jobs, RecordKind::placementBatches,
+                                    RecordKind::decommissioning};
   int readsInFlight_ = 0;
   Time retryAt_{};
   std::vector<CompletionChunk> completionChunks_;
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -12,7 +12,7 @@
                               ran ? context_.now - attempt.runningSince : wire::Duration{});
   if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // It failed on every machine: a few of its tasks are retried ever more rarely until its user cancels it.
-    if (faultyJobs_.insert(ref).second) {
+    if (jobsFailingEverywhere_.insert(ref).second) {
       context_.event(Level::info, "job_faulty", {{"job", ref}});
       clearMachineSuspicion(ref);
     }
@@ -29,8 +29,8 @@
     if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty()) machine.faults.clear();
 }
 
-void TaskFailurePolicy::reviewFaultyJobs() {
-  for (auto at = faultyJobs_.begin(); at != faultyJobs_.end();) {
+void TaskFailurePolicy::clearRecoveredJobs() {
+  for (auto at = jobsFailingEverywhere_.begin(); at != jobsFailingEverywhere_.end();) {
     jobs::Job* job = state_.jobs.find(*at);
     const bool ended = job == nullptr || !job->isOpen();
     if (!ended && job->failures.jobAtFault() && !succeedsElsewhere(*at, std::nullopt)) {
@@ -41,7 +41,7 @@
       job->failures.reset();
       state_.requestPlacementRound();
     }
-    at = faultyJobs_.erase(at);
+    at = jobsFailingEverywhere_.erase(at);
   }
 }
 
@@ -64,7 +64,7 @@
   return false;
 }
 
-void TaskFailurePolicy::quarantineIfFaulty(Machine& machine) {
+void TaskFailurePolicy::evaluateQuarantine(Machine& machine) {
   if (machine.faults.consecutiveErrors < constants::kSuspectAfterErrors || machine.faults.quarantined) return;
   bool allJobsFaulty = true;
   for (const std::string& ref : machine.faults.failedJobs) {
--- a/src/service/leader/task_failure_policy.hpp
+++ b/src/service/leader/task_failure_policy.hpp
@@ -23,9 +23,9 @@
   // The task attempt has failed on the machine.
   void recordFailure(Machine& machine, const Attempt& attempt);
   // Clears jobs that were found faulty and have succeeded since.
-  void reviewFaultyJobs();
+  void clearRecoveredJobs();
   // Quarantines and drains the machine if tasks fail on it that succeed elsewhere.
-  void quarantineIfFaulty(Machine& machine);
+  void evaluateQuarantine(Machine& machine);
 
  private:
   // Failures of this job count against no machine any more.
@@ -38,7 +38,7 @@
   LeaderState& state_;
   Context& context_;
   MachineLifecycle& lifecycle_;
-  std::set<std::string> faultyJobs_;
+  std::set<std::string> jobsFailingEverywhere_;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -21,27 +21,27 @@
   attempt.stopRequested = true;
   attempt.gracePeriodS = gracePeriodS;
   attempt.stopSent = false;
-  markDue(machine);
+  requestDirectCall(machine);
 }
 
-void WorkerCommands::markDue(Machine& machine) {
+void WorkerCommands::requestDirectCall(Machine& machine) {
   machine.directCommands.due = true;
-  dueHosts_.insert(machine.host.text);
+  hostsAwaitingDirectCall_.insert(machine.host.text);
 }
 
 void WorkerCommands::advanceFencingToken(Machine& machine) {
   // Once is enough until the worker has been seen with it.
   if (machine.workerToken < fencingTokenOf(machine)) return;
-  requireNewToken(machine);
+  issueFencingToken(machine);
 }
 
-void WorkerCommands::requireNewToken(Machine& machine) {
+void WorkerCommands::issueFencingToken(Machine& machine) {
   ++machine.fencingSequence;
   machine.contact.tokenAcknowledged = false;
   machine.contact.unacknowledgedSince = context_.now;
 }
 
-void WorkerCommands::noteAcknowledgedToken(Machine& machine) {
+void WorkerCommands::updateTokenAcknowledgement(Machine& machine) {
   if (machine.contact.tokenAcknowledged) return;
   if (machine.workerToken < fencingTokenOf(machine)) {
     if (machine.contact.unacknowledgedSince == Time{}) machine.contact.unacknowledgedSince = context_.now;
@@ -54,12 +54,12 @@
 
 // --- commands due ------------------------------------------------------------------------------------------
 
-std::vector<wire::Command> WorkerCommands::commandsFor(Machine& machine, HeartbeatSource via,
-                                                       std::uint64_t sequence) {
+std::vector<wire::Command> WorkerCommands::takeDueCommands(Machine& machine, HeartbeatSource via,
+                                                           std::uint64_t sequence) {
   std::vector<wire::Command> forgets;
   std::vector<wire::Command> others;
   for (Attempt& attempt : machine.attempts) {
-    const auto command = commandFor(attempt, via, sequence);
+    const auto command = takeDueCommand(attempt, via, sequence);
     if (!command) continue;
     std::vector<wire::Command>& list = command->verb == wire::CommandVerb::forget ? forgets : others;
     list.push_back(*command);
@@ -68,8 +68,8 @@
   return forgets;
 }
 
-std::optional<wire::Command> WorkerCommands::commandFor(Attempt& attempt, HeartbeatSource via,
-                                                        std::uint64_t sequence) {
+std::optional<wire::Command> WorkerCommands::takeDueCommand(Attempt& attempt, HeartbeatSource via,
+                                                            std::uint64_t sequence) {
   switch (attempt.phase) {
     case AttemptPhase::planned:
     case AttemptPhase::released:
@@ -93,7 +93,7 @@
   if (attempt.inherited) return std::nullopt;
   // Without the leader lease another controller may have confirmed the job's cancellation meanwhile.
   if (attempt.directCommandsInFlight != 0 || !state_.holdsLeaderLease()) return std::nullopt;
-  if (attempt.isGangMember && !hooks_.mayStartGang(attempt)) return std::nullopt;
+  if (attempt.isGangMember && !callbacks_.canStartGangTask(attempt)) return std::nullopt;
   if (via != HeartbeatSource::direct && attempt.startSentInSequence == 0)
     attempt.startSentInSequence = sequence;
   return makeCommand(wire::CommandVerb::start, attempt);
@@ -111,17 +111,18 @@
   // A start that may still arrive would start the attempt anew once the worker has forgotten it.
   if (attempt.directCommandsInFlight > 0 || attempt.unresolvedStartToken) return std::nullopt;
   const bool completed = attempt.cause == wire::Cause::done && !attempt.isService;
-  if (completed && !hooks_.isCompletionDurable(attempt.task)) return std::nullopt;
+  if (completed && !callbacks_.isCompletionDurable(attempt.task)) return std::nullopt;
   return makeCommand(wire::CommandVerb::forget, attempt);
 }
 
-void WorkerCommands::scheduleForgets() {
+void WorkerCommands::scheduleForgetCommands() {
   for (auto& [host, machine] : state_.machines.all()) {
     const bool forgettable =
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& attempt) { return attempt.phase == AttemptPhase::ended; });
     // Otherwise the answer to the next heartbeat carries it: nothing waits for a forget command.
-    if (forgettable && machine.attempts.size() > constants::kMaxEndedAttemptsListed) markDue(machine);
+    if (forgettable && machine.attempts.size() > constants::kMaxEndedAttemptsListed)
+      requestDirectCall(machine);
   }
 }
 
@@ -129,7 +130,7 @@
 
 void WorkerCommands::sendDirectCommands() {
   // Machines beyond the limit wait: those that don't answer occupy their calls until the time limit.
-  for (auto at = dueHosts_.begin(); at != dueHosts_.end() && mayCall();) {
+  for (auto at = hostsAwaitingDirectCall_.begin(); at != hostsAwaitingDirectCall_.end() && canStartCall();) {
     Machine* machine = state_.machines.find(*at);
     const bool due = machine != nullptr && machine->directCommands.due;
     if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextAt)) {
@@ -137,23 +138,23 @@
       continue;
     }
     if (due) sendDirectCommands(*machine);
-    at = dueHosts_.erase(at);
+    at = hostsAwaitingDirectCall_.erase(at);
   }
 }
 
 void WorkerCommands::sendDirectCommands(Machine& machine) {
   machine.directCommands.due = false;
-  if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.mayRenewLeases()) return;
+  if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.canRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   DirectCall direct{machine.host.text, fencingTokenOf(machine), machine.incarnation,
-                    commandsFor(machine, HeartbeatSource::direct, 0)};
+                    takeDueCommands(machine, HeartbeatSource::direct, 0)};
   if (direct.commands.empty() && (machine.contact.tokenAcknowledged || !machine.contact.takeoverProbeSent))
     return;
   for (const wire::Command& command : direct.commands)
     if (command.verb == wire::CommandVerb::start)
       ++machine.find(command.task, command.attempt)->directCommandsInFlight;
   machine.directCommands.inFlight = true;
-  callBegins();
+  onCallStarted();
   wire::Call call;
   call.service = wire::Service::worker;
   call.endpoint = machine.endpoint;
@@ -164,7 +165,7 @@
   call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(std::move(call),
                        guard_.wrap([this, direct = std::move(direct)](const wire::CallResult& result) {
-                         callEnds();
+                         onCallEnded();
                          onDirectAnswer(direct, result);
                        }));
 }
@@ -173,13 +174,14 @@
   Machine* machine = state_.machines.find(call.host);
   if (machine == nullptr) return;
   machine->directCommands.inFlight = false;
-  settleStarts(*machine, call, result);
+  recordStartOutcomes(*machine, call, result);
   if (result.status == 0) return onNoAnswer(*machine, call, result);
   const auto heartbeat = wire::decodeHeartbeat(result.body);
-  if (heartbeat && heartbeat->host.text == call.host) hooks_.onAnswer(*machine, *heartbeat);
+  if (heartbeat && heartbeat->host.text == call.host) callbacks_.onWorkerState(*machine, *heartbeat);
 }
 
-void WorkerCommands::settleStarts(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
+void WorkerCommands::recordStartOutcomes(Machine& machine, const DirectCall& call,
+                                         const wire::CallResult& result) {
   const bool mayTakeEffect = result.status == 0 && result.sent && machine.incarnation == call.incarnation;
   for (const wire::Command& command : call.commands) {
     if (command.verb != wire::CommandVerb::start) continue;
@@ -193,7 +195,7 @@
 
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
   // The commands are void once the worker has seen the higher token.
-  if (result.sent && call.token == fencingTokenOf(machine)) requireNewToken(machine);
+  if (result.sent && call.token == fencingTokenOf(machine)) issueFencingToken(machine);
   machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
   context_.event(Level::info, "command_unanswered",
                  {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 // Probes of unheard workers may take this fraction of the calls to workers.
-constexpr unsigned kUnheardCallsDivisor = 4;
+constexpr unsigned kTakeoverProbeCallsDivisor = 4;
 }  // namespace
 
 void WorkerProber::probeOverdue(Machine& machine) {
   if (machine.contact.probeInFlight || machine.contact.unreachable || machine.endpoint.empty() ||
-      !commands_.mayCall())
+      !commands_.canStartCall())
     return;
   machine.contact.probeInFlight = true;
   probe(machine);
 }
 
-void WorkerProber::probeUnheard() {
-  if (context_.now - state_.actingSince < constants::kProbeUnheardDelay || !state_.holdsLeaderLease()) return;
+void WorkerProber::sendTakeoverProbes() {
+  if (context_.now - state_.recordsLoadedAt < constants::kProbeUnheardDelay || !state_.holdsLeaderLease())
+    return;
   unsigned left =
-      std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kUnheardCallsDivisor);
+      std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kTakeoverProbeCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
         machine.endpoint.empty())
       continue;
-    if (left-- == 0 || !commands_.mayCall()) return;
+    if (left-- == 0 || !commands_.canStartCall()) return;
     machine.contact.takeoverProbeSent = true;
     probe(machine);
   }
@@ -36,7 +37,7 @@
   std::size_t probed = 0;
   const auto overdue = state_.heartbeatTimeout(constants::kOverdueAfterHeartbeats, 0.5);
   for (auto& [host, machine] : state_.machines.all()) {
-    if (probed == constants::kDirectProbeSamples || !commands_.mayCall()) return;
+    if (probed == constants::kDirectProbeSamples || !commands_.canStartCall()) return;
     const bool relayed = context_.now - machine.contact.lastHeartbeatAt <= overdue &&
                          context_.now - machine.contact.lastDirectContactAt > overdue;
     if (machine.phase != MachinePhase::up || !relayed || machine.contact.probeInFlight ||
@@ -49,7 +50,7 @@
 }
 
 void WorkerProber::probe(Machine& machine) {
-  commands_.callBegins();
+  commands_.onCallStarted();
   wire::Call call;
   call.service = wire::Service::worker;
   call.endpoint = machine.endpoint;
@@ -58,12 +59,12 @@
   call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(std::move(call),
                        guard_.wrap([this, host = machine.host.text](const wire::CallResult& result) {
-                         onAnswer(host, result);
+                         onProbeAnswer(host, result);
                        }));
 }
 
-void WorkerProber::onAnswer(const std::string& host, const wire::CallResult& result) {
-  commands_.callEnds();
+void WorkerProber::onProbeAnswer(const std::string& host, const wire::CallResult& result) {
+  commands_.onCallEnded();
   Machine* machine = state_.machines.find(host);
   if (machine == nullptr) return;
   machine->contact.probeInFlight = false;
@@ -73,7 +74,7 @@
   heartbeats_.apply(*machine, *heartbeat, HeartbeatSource::direct);
   machine->contact.unreachable = false;
   // Even without commands the call brings the fencing token.
-  if (!machine->contact.tokenAcknowledged) commands_.markDue(*machine);
+  if (!machine->contact.tokenAcknowledged) commands_.requestDirectCall(*machine);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_prober.hpp
+++ b/src/service/leader/worker_prober.hpp
@@ -23,14 +23,14 @@
   // Probes workers not heard from in this term. Those that an earlier leader still answers would stay with it
   // for as long as it believes itself to lead; a worker that sees this leader's token drops the earlier
   // leader's answers and looks for this one.
-  void probeUnheard();
+  void sendTakeoverProbes();
   // Probes a sample of the workers heard through siblings only: answers show that this controller is not
   // behind a network partition.
   void probeRelayed();
 
  private:
   void probe(Machine& machine);
-  void onAnswer(const std::string& host, const wire::CallResult& result);
+  void onProbeAnswer(const std::string& host, const wire::CallResult& result);
 
   LeaderState& state_;
   Context& context_;
