--- a/src/service/leader/attempt_fields.hpp
+++ b/src/service/leader/attempt_fields.hpp
@@ -1,4 +1,4 @@
-// The fields of an attempt that follow from its job's specification.
+// Fills in the fields of an attempt that are derived from its job's specification.
 #pragma once
 
 #include "jobs/jobs.hpp"
@@ -6,9 +6,10 @@
 
 namespace reachhoist::service {
 
-// What the attempt counts for in capacity and quotas; also for jobs that have ended.
+// Sets the fields by which the attempt counts against capacity and quotas. They also apply after the job has
+// ended.
 void setResourceFields(machines::Attempt& attempt, const wire::JobSpec& spec);
-// What decides how the attempt is started, preempted and stopped; for open jobs.
+// Sets the fields that decide how the attempt is started, preempted and stopped. The job must be open.
 void setSchedulingFields(machines::Attempt& attempt, const jobs::Job& job);
 
 }  // namespace reachhoist::service
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -22,7 +22,7 @@
   attempt.incarnation = machine.incarnation;
   switch (status.state) {
     case wire::TaskState::unrecognized:
-      // A state of a later protocol version: whatever it means, the task is on the machine.
+      // The state is from a later protocol version. Whatever it means, the task is on the machine.
       if (!std::exchange(unrecognizedStateLogged_, true))
         context_.event(Level::info, "unknown_state",
                        {{"task", attempt.task.str()}, {"machine", machine.host.text}});
@@ -61,10 +61,10 @@
   attempt.cause = cause;
   if (!wasPlaced) return;
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-  const bool known = job != nullptr && job->isOpen() && attempt.task.index < job->tasks.size();
+  const bool isTracked = job != nullptr && job->isOpen() && attempt.task.index < job->tasks.size();
   if (cause == wire::Cause::done && !attempt.isService) {
     machine.faults.clear();
-    if (known) complete(attempt.task);
+    if (isTracked) complete(attempt.task);
     return;
   }
   if (cause == wire::Cause::error || cause == wire::Cause::unknown) failures_.recordFailure(machine, attempt);
@@ -72,16 +72,16 @@
     context_.event(
         Level::debug, "ended",
         {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"cause", static_cast<int>(cause)}});
-  if (!known) return;
-  unassign(*job, attempt.task);
+  if (!isTracked) return;
+  returnToWaiting(*job, attempt.task);
   gangs_.onTaskLost(*job, attempt, "a task ended");
 }
 
-void AttemptTracker::unassign(jobs::Job& job, const wire::TaskId& task) {
+void AttemptTracker::returnToWaiting(jobs::Job& job, const wire::TaskId& task) {
   state_.requestPlacementRound();
   if (job.tasks[task.index] != jobs::TaskPhase::placed) return;
-  // Records are cleaned lazily: after a change of leader a task may stand in two of them, and the end of the
-  // stale attempt says nothing about the one that runs.
+  // Placement records are cleaned up lazily: after a change of leader two of them can name the same task, and
+  // the end of the stale attempt does not end the one that runs.
   for (const auto& [host, machine] : state_.machines.all()) {
     for (const Attempt& other : machine.attempts)
       if (other.holdsCapacity() && other.task == task) return;
@@ -94,18 +94,19 @@
   const bool wasEnded = attempt.phase == AttemptPhase::ended;
   setPhase(attempt, AttemptPhase::released);
   state_.requestPlacementRound();
-  if (wasEnded) return;  // its task was handled when the attempt ended
+  if (wasEnded) return;  // applyEnded() has updated the task already
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || !job->isOpen() || attempt.task.index >= job->tasks.size()) return;
   context_.event(Level::info, "attempt_freed",
                  {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
-  unassign(*job, attempt.task);
+  returnToWaiting(*job, attempt.task);
   gangs_.onTaskLost(*job, attempt, why);
 }
 
 void AttemptTracker::releaseAll(Machine& machine, const char* why) {
   for (Attempt& attempt : machine.attempts) {
-    // An attempt whose placement is being written has never been started; the transaction decides about it.
+    // An attempt whose placement is being written has never been started; the outcome of the transaction
+    // decides whether it is released.
     if (attempt.phase != AttemptPhase::planned) release(machine, attempt, why);
   }
   eraseReleased(machine);
--- a/src/service/leader/attempt_tracker.hpp
+++ b/src/service/leader/attempt_tracker.hpp
@@ -1,4 +1,4 @@
-// The phases of task attempts as workers report them, and what follows for their tasks.
+// Tracks the phases of task attempts that workers report, and updates the attempts' tasks.
 #pragma once
 
 #include "service/leader/completion_records.hpp"
@@ -18,20 +18,21 @@
 
   // Applies the task state that the machine's worker reports for the attempt.
   void applyStatus(Machine& machine, Attempt& attempt, const wire::TaskStatus& status);
-  // The attempt is proven gone: marks it free and lets its task be placed again. `why` is logged.
+  // Marks the attempt released, because it is proven gone, and lets its task be placed again. `why` is
+  // logged.
   void release(Machine& machine, Attempt& attempt, const char* why);
-  // Releases and erases all attempts of the machine whose placement is not being written.
+  // Releases and erases all attempts of the machine except those whose placement is still being written.
   void releaseAll(Machine& machine, const char* why);
-  // Erases the machine's attempts that are free.
+  // Erases the machine's released attempts.
   static void eraseReleased(Machine& machine);
 
  private:
-  // Changes the phase and keeps the job's count of running tasks.
+  // Changes the phase of the attempt and updates its job's count of running tasks.
   void setPhase(Attempt& attempt, AttemptPhase next);
   void applyRunning(Machine& machine, Attempt& attempt);
   void applyEnded(Machine& machine, Attempt& attempt, wire::Cause cause);
-  // The task has no attempt any more: it waits for its next placement.
-  void unassign(jobs::Job& job, const wire::TaskId& task);
+  // Returns the task to the waiting tasks unless another attempt of it holds capacity.
+  void returnToWaiting(jobs::Job& job, const wire::TaskId& task);
   void complete(const wire::TaskId& task);
 
   LeaderState& state_;
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -25,7 +25,8 @@
 
 void Autoscaler::tick() {
   if (!context_.catalog || !state_.holdsLeaderLease()) return;
-  // Machines that are up make themselves known first; else a new leader would request the whole fleet again.
+  // A new leader waits until the machines that are up have sent a heartbeat, so that it does not request the
+  // whole fleet again.
   if (!state_.firstHeartbeatWindowElapsed() && !state_.machines.all().empty()) return;
   if (sizing_.due(context_.now)) sizingRound();
   if (context_.now < nextScaleOutAt_) return;
@@ -49,16 +50,16 @@
 }
 
 void Autoscaler::scaleIn(const cloud::PoolKey& pool, int count, fleet::Headroom& headroom) {
-  int left = count;
+  int remaining = count;
   for (auto& [host, machine] : state_.machines.all()) {
-    if (left <= 0) return;
+    if (remaining <= 0) return;
     if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.transactionInFlight)
       continue;
     if (fleet::poolOf(machine) != pool) continue;
     if (!headroom.allowsRelease(machine)) return;
     headroom.release(machine);
     lifecycle_.drain(machine, "scale in");
-    --left;
+    --remaining;
   }
 }
 
--- a/src/service/leader/autoscaler.hpp
+++ b/src/service/leader/autoscaler.hpp
@@ -1,5 +1,5 @@
-// Fleet autoscaling: instance requests for what the queues and the reserve need, and scale-in of machines
-// that are not needed.
+// Fleet autoscaling: instance requests for queued tasks and for the reserve, and scale-in of machines that
+// are not needed.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +22,8 @@
 
 namespace reachhoist::service {
 
-// Runs the sizing rounds and the rules beside them, and takes the answers to instance requests.
+// Runs the sizing rounds and the direct scale-out and scale-in rules, and handles the answers to instance
+// requests.
 class Autoscaler {
  public:
   Autoscaler(LeaderState& state, MachineLifecycle& lifecycle, InstanceInventory& inventory,
@@ -30,13 +31,14 @@
              const PartitionDetector& partitions, cloud::Client& cloud);
   Autoscaler(const Autoscaler&) = delete;
 
-  // Loads the sizing state that an earlier leader has left.
+  // Loads the sizing state that an earlier leader has saved.
   void start() { sizingStore_.load(); }
   // Runs the rounds that are due.
   void tick();
   // Saves the sizing state when it is due.
   void saveSizingState() { sizingStore_.tick(); }
-  // The outcome of an instance request for the pool: the hosts provisioned, and how many were refused.
+  // Handles the outcome of an instance request for the pool. `refused` is the number of instances that the
+  // cloud refused.
   void onProvisioned(const cloud::PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused);
 
  private:
@@ -47,7 +49,7 @@
   void consolidate(const fleet::FleetSnapshot& snapshot);
   void requestInstances(const cloud::PoolKey& pool, int count, const char* why);
   fleet::FleetSnapshot fleetSnapshot();
-  // Instances requested, by pool, for which there is no answer yet.
+  // The number of requested instances without an answer yet, by pool.
   std::map<cloud::PoolKey, std::size_t> pendingByPool() const;
 
   LeaderState& state_;
@@ -62,8 +64,7 @@
   fleet::Sizing sizing_;
   SizingStateStore sizingStore_;
   std::map<cloud::PoolKey, Time> refusedPoolsUntil_;
-  std::map<cloud::PoolKey, std::set<std::string>>
-      gangsAwaitingInstances_;  // gangs that wait for a pool's instances
+  std::map<cloud::PoolKey, std::set<std::string>> gangsAwaitingInstances_;  // references of gangs, by pool
   Time nextScaleOutAt_{};
   Time nextConsolidationAt_{};
 };
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -9,7 +9,7 @@
 void BootMonitor::tick() {
   if (context_.now < nextCheckAt_) return;
   nextCheckAt_ = context_.now + constants::kScaleOutInterval;
-  detectTimeouts();
+  decommissionTimedOut();
 }
 
 double BootMonitor::nominalBootS(const Machine& machine) const {
@@ -19,12 +19,12 @@
   return 0;
 }
 
-// A machine that never comes up costs money until it is released; but where all boots are slow, giving up
-// would throw away machines that are about to come up.
-void BootMonitor::detectTimeouts() {
-  // Heartbeats that were sent while nobody listened arrive first.
-  const auto settle = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
-  if (context_.now - state_.receivingHeartbeatsSince() < settle) return;
+// A machine that never comes up costs money until it is released. Where all boots are slow, though, a short
+// timeout would discard machines that are about to come up.
+void BootMonitor::decommissionTimedOut() {
+  // Machines that came up while this leader received no heartbeats get time to send one.
+  const auto heartbeatGracePeriod = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  if (context_.now - state_.receivingHeartbeatsSince() < heartbeatGracePeriod) return;
   const fleet::BootCohorts cohorts(state_.existingMachines());
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::booting) continue;
--- a/src/service/leader/boot_monitor.hpp
+++ b/src/service/leader/boot_monitor.hpp
@@ -1,4 +1,4 @@
-// How long machines take to boot, and which ones never finish.
+// Monitors the boot times of machines and detects machines whose boot does not finish.
 #pragma once
 
 #include "fleet/boot_times.hpp"
@@ -14,15 +14,15 @@
       : state_(state), context_(state.context), lifecycle_(lifecycle) {}
   BootMonitor(const BootMonitor&) = delete;
 
-  // The machine has sent its first heartbeat.
+  // Records the boot time of a machine that has sent its first heartbeat.
   void recordBoot(const Machine& machine);
-  // Looks for boot time-outs every constants::kScaleOutInterval.
+  // Checks for boot timeouts every constants::kScaleOutInterval.
   void tick();
   const fleet::BootHistory& history() const { return history_; }
 
  private:
-  void detectTimeouts();
-  // By the catalogue, in seconds; 0 if the type is not known.
+  void decommissionTimedOut();
+  // The boot time of the machine's type according to the catalogue, or 0 if the type is not in it.
   double nominalBootS(const Machine& machine) const;
 
   LeaderState& state_;
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -30,7 +30,7 @@
 }
 
 void CompletionRecords::forgetJob(const std::string& ref) {
-  dirtyJobs_.erase(ref);  // takeDirtyChunks() passes over its entry in the queue
+  dirtyJobs_.erase(ref);  // takeDirtyChunks() skips its entry in the queue
   finishedJobs_.erase(ref);
 }
 
@@ -57,7 +57,8 @@
 
 // --- final phases ------------------------------------------------------------------------------------------
 
-// They have a writer of their own: users wait for them, while progress only saves work after a failover.
+// Final phases have their own writer because users wait for them, while progress records only save work after
+// a failover.
 void CompletionRecords::writeFinalPhases() {
   if (finalPhaseWriter_.busy() || finishedJobs_.empty()) return;
   state::Transaction transaction;
@@ -86,7 +87,7 @@
   }
   for (const std::string& ref : refs) {
     jobs::Job* job = jobs_.find(ref);
-    // Its progress records are obsolete.
+    // The progress records of a finished job are obsolete.
     for (const auto& [chunk, revision] : job->doneRevisions) markObsolete(jobs::doneKey(ref, chunk));
     const Json record = jobs::encodeFinal(*job, jobs::JobPhase::done);
     if (jobs_.apply(ref, record, outcome.revision) == jobs::JobTable::Change::ended) {
@@ -100,8 +101,8 @@
 // --- progress ----------------------------------------------------------------------------------------------
 
 void CompletionRecords::writeProgress() {
-  // Paced, so that less urgent writes get their turn: little is lost without it, since a completed task that
-  // is started again ends at once.
+  // Progress is written at intervals so that less urgent writes are not starved. A delay loses little,
+  // because a completed task that is started again ends at once.
   if (progressWriter_.busy() || dirtyJobs_.empty() || context_.now < nextProgressAt_) return;
   nextProgressAt_ = context_.now + constants::kProgressWriteInterval;
   const std::vector<ChunkId> chunks = takeDirtyChunks();
@@ -116,7 +117,8 @@
 
 std::vector<CompletionRecords::ChunkId> CompletionRecords::takeDirtyChunks() {
   std::vector<ChunkId> chunks;
-  // Longest dirty first, so that none starves when there is more than the transactions carry.
+  // The job that has been dirty for the longest time comes first, so that none starves when there are more
+  // chunks than the transactions can carry.
   while (!dirtyQueue_.empty() && chunks.size() < context_.settings.stateLimits.opsPerTransaction) {
     const std::string ref = dirtyQueue_.front();
     jobs::Job* job = jobs_.find(ref);
@@ -147,12 +149,12 @@
   const bool applied = outcome.verdict == state::Verdict::applied;
   for (const auto& [ref, chunk] : chunks) {
     jobs::Job* job = jobs_.find(ref);
-    const bool open = job != nullptr && job->isOpen();
-    if (applied && open) {
+    const bool isJobOpen = job != nullptr && job->isOpen();
+    if (applied && isJobOpen) {
       job->doneRevisions[chunk] = outcome.revision;
     } else if (applied) {
-      markObsolete(jobs::doneKey(ref, chunk));  // the job has ended meanwhile
-    } else if (open) {
+      markObsolete(jobs::doneKey(ref, chunk));  // the job ended during the transaction
+    } else if (isJobOpen) {
       job->dirtyChunks.insert(chunk);
       markDirty(ref);
     }
--- a/src/service/leader/completion_records.hpp
+++ b/src/service/leader/completion_records.hpp
@@ -1,5 +1,5 @@
 // The stored records of completed work: final phases of jobs, progress of job arrays, and the deletion of
-// progress records that are obsolete.
+// obsolete progress records.
 #pragma once
 
 #include <compare>
@@ -15,31 +15,31 @@
 
 namespace reachhoist::service {
 
-// Writes the records. Each kind has a writer with one transaction in flight; completions that gather
-// meanwhile go with the next one.
+// Writes the records. Each kind has its own writer with at most one transaction in flight. The next
+// transaction carries the completions that accumulate in the meantime.
 class CompletionRecords {
  public:
-  // All are required.
+  // Notifications to other components; all are required.
   struct Callbacks {
-    std::function<void(jobs::Job&)> onJobEnded;  // the job's final phase is durable
+    std::function<void(jobs::Job&)> onJobEnded;  // the job's final phase has become durable
     std::function<void()> onCompletionsDurable;  // further completions have become durable
   };
 
   CompletionRecords(LeaderState& state, Callbacks callbacks);
   CompletionRecords(const CompletionRecords&) = delete;
 
-  // A task of an open job has completed.
+  // Records that a task of an open job has completed.
   void taskCompleted(const wire::TaskId& task);
-  // All tasks of the open job have completed.
-  void jobFinished(const std::string& ref) { finishedJobs_.insert(ref); }
-  // Whether the task's completion survives this leader.
+  // Records that all tasks of the open job have completed.
+  void allTasksCompleted(const std::string& ref) { finishedJobs_.insert(ref); }
+  // Whether the completion of the task is durable, so that it survives a change of leader.
   bool isCompletionDurable(const wire::TaskId& task) const;
-  // The job has ended: nothing of it has to be written any more.
+  // Drops the pending writes of a job that has ended.
   void forgetJob(const std::string& ref);
-  // The stored key is obsolete.
+  // Schedules the deletion of an obsolete stored key.
   void markObsolete(const std::string& key) { obsoleteKeys_.insert(key); }
 
-  // Goes on with the transactions in flight.
+  // Continues the transactions in flight, for example with retries.
   void tick();
   // Begins transactions for final phases and progress.
   void write();
@@ -59,7 +59,7 @@
   void writeFinalPhases();
   void onFinalPhasesWritten(const std::vector<std::string>& refs, const state::Outcome& outcome);
   void writeProgress();
-  // Takes dirty chunks for the next transaction, at most as many as fit into it.
+  // Removes dirty chunks from their jobs for the next transaction, at most as many as fit into it.
   std::vector<ChunkId> takeDirtyChunks();
   void addChunk(state::Transaction& transaction, const ChunkId& id) const;
   void onProgressWritten(const std::vector<ChunkId>& chunks, const state::Outcome& outcome);
@@ -74,8 +74,8 @@
   state::Committer deletionWriter_;
   std::set<std::string> finishedJobs_;  // jobs whose final phase is not durable
   std::set<std::string> dirtyJobs_;     // jobs with completions that are not durable
-  std::deque<std::string> dirtyQueue_;  // the same, longest dirty first, and some that are clean already
-  std::set<ChunkId> chunksInFlight_;    // of the progress transaction
+  std::deque<std::string> dirtyQueue_;  // the same, longest dirty first, and jobs that are clean by now
+  std::set<ChunkId> chunksInFlight_;    // chunks in the progress transaction
   std::set<std::string> obsoleteKeys_;
   Time nextProgressAt_{};
 };
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -5,7 +5,7 @@
 namespace reachhoist::service {
 
 namespace {
-// Machines are checked once in so many ticks.
+// Number of ticks from one check of the machines to the next.
 constexpr int kTicksPerCheck = 10;
 }  // namespace
 
@@ -15,13 +15,13 @@
   prober_.sendTakeoverProbes();
   partitions_.observe(state_.machines, context_.now);
   const auto receivingFor = context_.now - state_.receivingHeartbeatsSince();
-  const bool settled = receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
-                       state_.holdsLeaderLease();
+  const bool canJudgeSilence = receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
+                               state_.holdsLeaderLease();
   if (partitions_.mostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.clearRecoveredJobs();
   for (auto& [host, machine] : state_.machines.all())
-    if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, settled);
+    if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, canJudgeSilence);
   if (receivingFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) &&
       state_.holdsLeaderLease())
     failover_.moveServices();
@@ -36,26 +36,28 @@
 }
 
 const char* FailureDetector::transferReason() const {
-  const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kPeerHeartbeatTimeout;
-  const bool siblingConfirmed =
+  const bool siblingHeartbeatsMissing =
+      context_.now - context_.siblingHeardAt > constants::kPeerHeartbeatTimeout;
+  const bool siblingReachesStore =
       context_.now - context_.siblingConfirmedAt <= constants::kPeerHeartbeatTimeout;
   if (partitions_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "no worker heartbeats";
-  if (siblingConfirmed && partitions_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout)
+  if (siblingReachesStore && partitions_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "only relayed heartbeats";
-  // Machines that are all dead would not come to the next leader either; siblings that are silent as well
-  // tell a network partition from that.
-  if (siblingsSilent && partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
+  // If all machines had failed, a new leader would get no heartbeats either. Siblings whose heartbeats are
+  // missing as well show that this controller is behind a network partition instead.
+  if (siblingHeartbeatsMissing &&
+      partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
       context_.now - state_.receivingHeartbeatsSince() > constants::kNewLeaderContactTimeout)
     return "no heartbeats at all";
   return nullptr;
 }
 
-void FailureDetector::checkMachine(const std::string& host, Machine& machine, bool settled) {
+void FailureDetector::checkMachine(const std::string& host, Machine& machine, bool canJudgeSilence) {
   taskFailures_.evaluateQuarantine(machine);
   const bool leaseExpired = checkLease(host, machine);
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
-  if (settled) checkHeartbeats(machine, leaseExpired);
+  if (canJudgeSilence) checkHeartbeats(machine, leaseExpired);
 }
 
 bool FailureDetector::checkLease(const std::string& host, Machine& machine) {
@@ -72,21 +74,22 @@
 
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
   const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
-  const bool maybePartitioned = partitions_.doubtful(machine.zone);
+  const bool isPossiblyPartitioned = partitions_.doubtful(machine.zone);
   if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
-      (leaseExpired || !maybePartitioned))
+      (leaseExpired || !isPossiblyPartitioned))
     lifecycle_.decommission(machine, "missed heartbeats");
   if (silentFor > state_.heartbeatTimeout(constants::kProbeAfterHeartbeats, 1)) prober_.probeOverdue(machine);
-  // Overdue and unreachable as well: no need to wait for a third heartbeat.
+  // A machine that has also left a probe unanswered is given up without waiting for a third missed heartbeat.
   if (machine.contact.unreachable &&
-      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) && !maybePartitioned)
+      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) && !isPossiblyPartitioned)
     lifecycle_.decommission(machine, "unreachable");
-  // It sends heartbeats, but nothing from here arrives: its lease has expired, and it can't run work.
-  const bool unacknowledged = !machine.contact.tokenAcknowledged &&
-                              machine.contact.unacknowledgedSince != Time{} &&
-                              context_.now - machine.contact.unacknowledgedSince >
-                                  context_.settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
-  if (unacknowledged && machine.phase == MachinePhase::up)
+  // The worker sends heartbeats but receives nothing from this leader: its lease has expired, and it can't
+  // run work.
+  const bool acknowledgementTimedOut =
+      !machine.contact.tokenAcknowledged && machine.contact.unacknowledgedSince != Time{} &&
+      context_.now - machine.contact.unacknowledgedSince >
+          context_.settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
+  if (acknowledgementTimedOut && machine.phase == MachinePhase::up)
     lifecycle_.decommission(machine, "token not acknowledged");
 }
 
--- a/src/service/leader/failure_detector.hpp
+++ b/src/service/leader/failure_detector.hpp
@@ -1,5 +1,5 @@
-// Failure detection: machines whose heartbeats have stopped, leases that have expired, and a leader that
-// can't reach the workers.
+// Failure detection: machines whose heartbeats have stopped, worker leases that have expired, and a leader
+// that can't reach the workers.
 #pragma once
 
 #include <string>
@@ -14,9 +14,10 @@
 
 namespace reachhoist::service {
 
-// Decides which machines are given up. Most machines of a zone quiet at once are more likely behind a network
-// partition than dead, and relay needs a while to find its way: giving them up would throw away running work.
-// There only lease expiry decides or, shortly before it, capacity for their services elsewhere.
+// Decides which machines are given up. When most machines of a zone miss heartbeats at the same time, a
+// network partition is more likely than their failure, and heartbeats need some time until siblings relay
+// them: giving the machines up would discard running work. Such machines are given up only when their leases
+// expire or, shortly before that, when there is capacity elsewhere for their services.
 class FailureDetector {
  public:
   FailureDetector(LeaderState& state, MachineLifecycle& lifecycle, AttemptTracker& attempts,
@@ -32,19 +33,22 @@
         partitions_(partitions) {}
   FailureDetector(const FailureDetector&) = delete;
 
-  // Checks all machines when the next check is due.
+  // Checks the leadership and all machines when the next check is due.
   void tick();
 
  private:
-  // Leaves the leadership to a sibling if workers don't reach this controller; whether it has.
+  // Gives up the leadership to a sibling if the workers' heartbeats don't reach this controller. Returns
+  // whether it has done so.
   bool transferLeadership();
-  // Why it should be left; null: it should not. The key-value store is in reach, but as long as this
-  // controller leads, the leases of all machines that can't reach it expire.
+  // The reason to give up the leadership, or null if there is none. Losing the workers is a reason even while
+  // the key-value store is reachable: as long as this controller leads, the leases of all workers that can't
+  // reach it expire.
   const char* transferReason() const;
-  // `settled`: this leader has listened long enough for silence to mean something.
-  void checkMachine(const std::string& host, Machine& machine, bool settled);
+  // `canJudgeSilence` tells whether this leader has received heartbeats for so long that a missing one
+  // indicates a failure.
+  void checkMachine(const std::string& host, Machine& machine, bool canJudgeSilence);
   void checkHeartbeats(Machine& machine, bool leaseExpired);
-  // Releases what ran on the machine if its worker's lease has expired; whether it has.
+  // Releases the attempts on the machine if its worker's lease has expired. Returns whether it has expired.
   bool checkLease(const std::string& host, Machine& machine);
 
   LeaderState& state_;
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -12,8 +12,8 @@
 constexpr int kMaxBackoffDoublings = 6;
 
 bool isAttemptInProgress(const jobs::Job& job) {
-  const GangState phase = job.gang.state;
-  return phase == GangState::reserving || phase == GangState::gathering || phase == GangState::running;
+  const GangState state = job.gang.state;
+  return state == GangState::reserving || state == GangState::gathering || state == GangState::running;
 }
 }  // namespace
 
@@ -28,22 +28,22 @@
 }
 
 void GangCoordinator::adoptAttempts() {
-  std::map<std::string, std::set<std::uint32_t>> tasksOfLatest;  // by job
+  std::map<std::string, std::set<std::uint32_t>> tasksOfLatestAttempt;  // task indexes, by job
   for (auto& [host, machine] : state_.machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
       jobs::Job* job = attempt.isGangMember ? state_.jobs.find(attempt.task.job.text) : nullptr;
       if (job == nullptr || attempt.number < job->gang.attemptNumber) continue;
-      if (attempt.number > job->gang.attemptNumber) tasksOfLatest[attempt.task.job.text].clear();
+      if (attempt.number > job->gang.attemptNumber) tasksOfLatestAttempt[attempt.task.job.text].clear();
       job->gang.attemptNumber = attempt.number;
-      tasksOfLatest[attempt.task.job.text].insert(attempt.task.index);
+      tasksOfLatestAttempt[attempt.task.job.text].insert(attempt.task.index);
     }
   }
-  for (auto& [ref, found] : tasksOfLatest) {
+  for (auto& [ref, tasks] : tasksOfLatestAttempt) {
     jobs::Job& job = *state_.jobs.find(ref);
-    const bool complete = found.size() == job.spec.taskCount;
-    setState(job, complete ? GangState::gathering : GangState::clearing, "adopted");
+    const bool isComplete = tasks.size() == job.spec.taskCount;
+    setState(job, isComplete ? GangState::gathering : GangState::clearing, "adopted");
     state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-      if (!complete || attempt.number != job.gang.attemptNumber) commands_.stop(machine, attempt, 0);
+      if (!isComplete || attempt.number != job.gang.attemptNumber) commands_.stop(machine, attempt, 0);
     });
   }
 }
@@ -74,8 +74,8 @@
 
 void GangCoordinator::onTaskRunning(jobs::Job& job) {
   if (job.gang.state != GangState::gathering || job.runningCount < job.spec.taskCount) return;
-  // job.runningCount also counts tasks of an earlier attempt and tasks that are checkpointing already: they
-  // don't show that this attempt runs.
+  // job.runningCount also counts tasks of an earlier attempt and tasks that are checkpointing already, which
+  // do not prove that all tasks of this attempt run.
   std::uint32_t running = 0;
   state_.forEachAttempt(job.spec.ref.text, [&](Machine&, const Attempt& attempt) {
     if (attempt.number == job.gang.attemptNumber && attempt.phase == AttemptPhase::running) ++running;
@@ -103,7 +103,7 @@
   setState(job, GangState::done, "a task is done");
   for (std::uint32_t index = 0; index < job.spec.taskCount; ++index)
     job.setTaskPhase(index, jobs::TaskPhase::completed, context_.now);
-  records_.jobFinished(job.spec.ref.text);
+  records_.allTasksCompleted(job.spec.ref.text);
   state_.requestPlacementRound();
 }
 
@@ -121,11 +121,11 @@
   if (job == nullptr || !job->isOpen() || !job->isGang()) return;
   if (!isAttemptInProgress(*job)) return;
   const double gracePeriodS = job->spec.checkpointDurationS + constants::kCheckpointGraceMarginS;
-  const bool saves = job->gang.state == GangState::running && job->spec.checkpointIntervalS > 0 &&
-                     gracePeriodS < stopTimeLimitS;
+  const bool canCheckpoint = job->gang.state == GangState::running && job->spec.checkpointIntervalS > 0 &&
+                             gracePeriodS < stopTimeLimitS;
   setState(*job, GangState::stopping, why);
   state_.forEachAttempt(ref, [&](Machine& machine, Attempt& attempt) {
-    if (attempt.holdsCapacity()) commands_.stop(machine, attempt, saves ? gracePeriodS : 0);
+    if (attempt.holdsCapacity()) commands_.stop(machine, attempt, canCheckpoint ? gracePeriodS : 0);
   });
 }
 
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -8,8 +8,8 @@
 namespace reachhoist::service {
 
 namespace {
-// Whether the heartbeat was sent after the last one applied: one that was delayed on its way describes an
-// earlier state.
+// Whether the heartbeat was sent after the last one applied. A heartbeat that was delayed on its way
+// describes an earlier state.
 bool isNewer(const Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   return heartbeat.incarnation > machine.incarnation ||
          (heartbeat.incarnation == machine.incarnation && heartbeat.sequence > machine.sequence);
@@ -20,8 +20,8 @@
                                                   HeartbeatSource source) {
   if (state_.resigned()) return {};
   if (!state_.canRenewLeases()) {
-    // The machine is alive all the same: those that kept sending during a long outage of the key-value store
-    // are not given up afterwards.
+    // The heartbeat still shows that the machine is alive: machines that kept sending heartbeats during a
+    // long outage of the key-value store must not be given up afterwards.
     Machine* known = state_.machines.find(heartbeat.host.text);
     if (known != nullptr && isNewer(*known, heartbeat)) known->contact.lastHeartbeatAt = context_.now;
     return {};
@@ -40,16 +40,17 @@
 }
 
 bool HeartbeatProcessor::canAnswer(const wire::WorkerHeartbeat& heartbeat) const {
-  // A worker that has seen a later term drops this leader's answers, and a 200 would only keep it here until
-  // its lease has expired.
+  // A worker that has seen the token of a later term ignores this leader's answers. A 200 would only keep it
+  // from contacting the new leader until its lease has expired.
   if (heartbeat.fencingToken >= cluster::fencingToken(state_.term + 1, 0)) return false;
-  // A released host is gone: this is a delayed heartbeat, and must not add the machine again.
+  // A released host is gone, so its heartbeat was delayed and must not add the machine again.
   return !inventory_.wasRecentlyReleased(heartbeat.host.text);
 }
 
 Machine& HeartbeatProcessor::findOrAdd(const std::string& host) {
   if (Machine* known = state_.machines.find(host); known != nullptr) return *known;
-  // From an instance request whose answer is not in yet, or from one of an earlier leader.
+  // The machine is from an instance request whose answer has not arrived yet, or from one of an earlier
+  // leader.
   Machine& machine = state_.machines.add(host);
   machine.provisionedAt = context_.now;
   machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
@@ -97,8 +98,8 @@
     context_.event(Level::info, "incarnation_changed",
                    {{"machine", machine.host.text}, {"attempts", machine.attempts.size()}});
   // The worker has killed and forgotten all tasks of its earlier incarnations. An attempt that an earlier
-  // leader placed and that has not been reported in this term may belong to the new incarnation, since the
-  // one known so far may come from a delayed heartbeat: reconcileMissingAttempts decides about it.
+  // leader placed and that no heartbeat of this term has reported can belong to the new incarnation, because
+  // the incarnation recorded so far can come from a delayed heartbeat. reconcileMissingAttempts() handles it.
   for (Attempt& attempt : machine.attempts) {
     const bool unreported = attempt.inherited && attempt.incarnation == 0;
     if (machine.incarnation != 0 && attempt.phase != AttemptPhase::planned && !unreported)
@@ -107,7 +108,7 @@
   AttemptTracker::eraseReleased(machine);
   machine.incarnation = heartbeat.incarnation;
   // The lease of the new incarnation counts from its beginning, whether or not any of its heartbeats was
-  // answered: tasks that direct commands start in it go on for that long.
+  // answered: tasks that direct commands start in it continue for the length of the lease.
   machine.contact.leaseRenewedAt = std::max(machine.contact.leaseRenewedAt, context_.now);
   machine.images = {};
 }
@@ -116,7 +117,7 @@
   machine.workerToken = std::max(machine.workerToken, heartbeat.fencingToken);
   commands_.updateTokenAcknowledgement(machine);
   for (Attempt& attempt : machine.attempts) {
-    // Once the worker has seen a higher token, it answers the old command with 409 only.
+    // A worker that has seen a higher token rejects the old command with 409.
     if (attempt.unresolvedStartToken && machine.workerToken > *attempt.unresolvedStartToken)
       attempt.unresolvedStartToken.reset();
   }
@@ -131,25 +132,25 @@
 }
 
 Attempt& HeartbeatProcessor::addUnknownAttempt(Machine& machine, const wire::TaskStatus& status) {
-  // Every start is recorded first, so this attempt has been released and must not go on.
-  Attempt stray;
-  stray.task = status.task;
-  stray.number = status.attempt;
-  stray.inherited = true;
-  stray.stopRequested = true;
-  stray.phase = AttemptPhase::recorded;
-  stray.phaseSince = stray.placedAt = context_.now;
+  // Every placement is recorded before its start, so this attempt has been released and must be stopped.
+  Attempt unknownAttempt;
+  unknownAttempt.task = status.task;
+  unknownAttempt.number = status.attempt;
+  unknownAttempt.inherited = true;
+  unknownAttempt.stopRequested = true;
+  unknownAttempt.phase = AttemptPhase::recorded;
+  unknownAttempt.phaseSince = unknownAttempt.placedAt = context_.now;
   if (const jobs::Job* job = state_.jobs.find(status.task.job.text); job != nullptr)
-    setResourceFields(stray, job->spec);
-  machine.attempts.push_back(std::move(stray));
+    setResourceFields(unknownAttempt, job->spec);
+  machine.attempts.push_back(std::move(unknownAttempt));
   context_.event(Level::info, "unknown_attempt",
                  {{"machine", machine.host.text}, {"task", status.task.str()}});
   return machine.attempts.back();
 }
 
 void HeartbeatProcessor::reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
-  // Under a new term a heartbeat proves absence only once the worker has seen this leader's token: before
-  // that it may be a delayed copy of one that an earlier leader got.
+  // In a new term a heartbeat proves absence only if the worker has seen this leader's token. Without it, the
+  // heartbeat can be a delayed copy of one that an earlier leader received.
   if (heartbeat.fencingToken < cluster::fencingToken(state_.term, 0)) return;
   for (Attempt& attempt : machine.attempts) {
     const bool present =
@@ -162,15 +163,19 @@
 
 void HeartbeatProcessor::reconcileMissingAttempt(Machine& machine, Attempt& attempt, std::uint64_t sequence) {
   if (attempt.phase == AttemptPhase::planned) return;
-  // A direct start may still take effect.
+  // A start command from a direct call can still take effect.
   if (attempt.directCommandsInFlight > 0 || attempt.unresolvedStartToken) return;
-  const bool seen = attempt.phase != AttemptPhase::recorded;
-  // A start in an answer is executed at once or never: a later heartbeat without the task proves that the
-  // answer did not arrive. Until the worker is seen with a higher token it gets no more work.
-  const bool notTaken = attempt.startSentInSequence != 0 && sequence > attempt.startSentInSequence;
-  if (notTaken && !seen) commands_.advanceFencingToken(machine);
-  if (seen || attempt.inherited || attempt.stopRequested || notTaken)
-    attempts_.release(machine, attempt, seen ? "forgotten" : notTaken ? "command not applied" : "absent");
+  const bool wasReported = attempt.phase != AttemptPhase::recorded;
+  // The worker executes a start command in a heartbeat answer at once or never, so a later heartbeat without
+  // the task proves that the answer did not arrive. The worker gets no more work until it reports a higher
+  // token.
+  const bool startNotApplied = attempt.startSentInSequence != 0 && sequence > attempt.startSentInSequence;
+  if (startNotApplied && !wasReported) commands_.advanceFencingToken(machine);
+  if (wasReported || attempt.inherited || attempt.stopRequested || startNotApplied)
+    attempts_.release(machine, attempt,
+                      wasReported       ? "forgotten"
+                      : startNotApplied ? "command not applied"
+                                        : "absent");
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/heartbeat_processor.hpp
+++ b/src/service/leader/heartbeat_processor.hpp
@@ -1,4 +1,5 @@
-// Worker heartbeats: what they prove about machines and task attempts, and the commands that answer them.
+// Processes worker heartbeats: updates the machines and task attempts they report, and answers them with
+// commands.
 #pragma once
 
 #include "service/leader/attempt_tracker.hpp"
@@ -10,7 +11,7 @@
 
 namespace reachhoist::service {
 
-// The answer to a heartbeat: an HTTP status and, with 200, the body that renews the worker's lease.
+// The answer to a heartbeat: an HTTP status and, with status 200, the body that renews the worker's lease.
 struct HeartbeatResponse {
   int status = 503;
   Json body;
@@ -30,25 +31,27 @@
         inventory_(inventory) {}
   HeartbeatProcessor(const HeartbeatProcessor&) = delete;
 
-  // A heartbeat sent to this controller or relayed by a sibling. Answered with 200 only if the worker's lease
-  // may be renewed.
+  // Handles a heartbeat that was sent to this controller or relayed by a sibling. Answers 200 only if this
+  // leader can renew the worker's lease.
   HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
   // Applies the content of a heartbeat, or of a worker's answer to a direct call, unless a newer one has been
   // applied.
   void apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
 
  private:
-  // Whether the heartbeat is from a worker that this leader may answer.
+  // Whether this leader can answer the worker that sent the heartbeat.
   bool canAnswer(const wire::WorkerHeartbeat& heartbeat) const;
   Machine& findOrAdd(const std::string& host);
   void applyMachineFields(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void onNewIncarnation(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void applyFencingToken(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void applySpotNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-  // Adds an attempt that was reported but is not known, to be stopped.
+  // Adds an attempt that the worker reports but the machine table does not contain, so that it is stopped.
   Attempt& addUnknownAttempt(Machine& machine, const wire::TaskStatus& status);
   // Releases attempts that the heartbeat proves absent from the machine.
   void reconcileMissingAttempts(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  // Releases the attempt, which the heartbeat with this sequence number does not list, if that proves it
+  // absent.
   void reconcileMissingAttempt(Machine& machine, Attempt& attempt, std::uint64_t sequence);
 
   LeaderState& state_;
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -5,12 +5,13 @@
 namespace reachhoist::service {
 
 namespace {
-// Heartbeat intervals after which a machine listed as running should have been heard from.
-constexpr double kHeartbeatsMissedAfterListing = 4;
+// A machine that the cloud lists as running is expected to send a heartbeat within this number of heartbeat
+// intervals.
+constexpr double kFirstHeartbeatIntervalsAfterListing = 4;
 }  // namespace
 
 void InstanceInventory::addProvisioned(const cloud::PoolKey& pool, const std::string& host) {
-  if (state_.machines.find(host) != nullptr) return;  // its first heartbeat was faster than the answer
+  if (state_.machines.find(host) != nullptr) return;  // its first heartbeat arrived before the cloud's answer
   Machine& machine = state_.machines.add(host);
   machine.machineType = pool.machineType;
   machine.zone = pool.zone;
@@ -31,7 +32,8 @@
     for (const std::uint32_t batch : state_.batches.batchesNaming(host)) state_.staleBatches.insert(batch);
     context_.event(Level::info, "machine_terminated",
                    {{"machine", host}, {"why", machine->decommissionReason}});
-    // A placement whose transaction is in flight finds no machine to start on, as it should.
+    // This includes attempts whose placement is still being written: when their transaction is done, there is
+    // no machine left to start them on.
     for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine terminated");
     state_.machines.remove(host);
     releaseRetentionUntil_[host] = context_.now + constants::kReleasedHostRetention;
@@ -62,8 +64,8 @@
   machine.contact.lastDirectContactAt = context_.now;
   machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
   lifecycle_.applyMachineType(machine);
-  // Nothing is placed on it, but under an earlier leader it was up: it will send heartbeats, and its age must
-  // not count as a boot time-out.
+  // No attempt is recorded on the machine, but it came up under an earlier leader. It will send heartbeats,
+  // and its age must not count as a boot timeout.
   if (entry.state == wire::InstanceState::running) machine.setPhase(MachinePhase::up, context_.now);
   return machine;
 }
@@ -76,13 +78,13 @@
     attempts_.releaseAll(machine, "machine failed");
     lifecycle_.decommission(machine, "failed");
   } else if (machine.phase == MachinePhase::booting && entry.state == wire::InstanceState::running) {
-    // Counted from the first list that said it runs: a machine that came up late has only just begun to send
-    // heartbeats.
+    // The time without heartbeats counts from the first list that named the machine as running, because a
+    // machine that boots slowly only starts to send heartbeats then.
     if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
-    const double lagS = 2 * context_.settings.cloudLimits.listLagS;
-    const auto unheardFor = context_.now - std::max(machine.listedUpAt, state_.receivingHeartbeatsSince());
-    if (wire::toSeconds(unheardFor) >
-        lagS + kHeartbeatsMissedAfterListing * context_.settings.workers.heartbeatIntervalS)
+    const double listLagAllowanceS = 2 * context_.settings.cloudLimits.listLagS;
+    const auto silentFor = context_.now - std::max(machine.listedUpAt, state_.receivingHeartbeatsSince());
+    if (wire::toSeconds(silentFor) > listLagAllowanceS + kFirstHeartbeatIntervalsAfterListing *
+                                                             context_.settings.workers.heartbeatIntervalS)
       lifecycle_.decommission(machine, "running without heartbeats");
   }
 }
--- a/src/service/leader/instance_inventory.hpp
+++ b/src/service/leader/instance_inventory.hpp
@@ -1,4 +1,4 @@
-// Keeps the machine table in line with the cloud's instances.
+// Reconciles the machine table with the cloud's instances.
 #pragma once
 
 #include <map>
@@ -19,17 +19,17 @@
       : state_(state), context_(state.context), lifecycle_(lifecycle), attempts_(attempts) {}
   InstanceInventory(const InstanceInventory&) = delete;
 
-  // The cloud has provisioned the host in the pool.
+  // Adds the host, which the cloud has provisioned in the pool.
   void addProvisioned(const cloud::PoolKey& pool, const std::string& host);
-  // The cloud has confirmed the release of the hosts: what ran on them is proven gone.
+  // Removes the hosts, whose release the cloud has confirmed: all attempts on them are proven gone.
   void onReleased(const std::vector<std::string>& hosts);
   // Reconciles the table with the cloud's instance list.
   void onListed(const std::vector<wire::InstanceEntry>& hosts);
-  // Whether the host was released so recently that late heartbeats and older lists may still name it.
+  // Whether the host was released so recently that delayed heartbeats and earlier lists can still name it.
   bool wasRecentlyReleased(const std::string& host) const { return releaseRetentionUntil_.contains(host); }
 
  private:
-  // Adds a listed host that no record and no answer of the cloud has named.
+  // Adds a listed host that neither a stored record nor an answer to an instance request has named.
   Machine& addListed(const wire::InstanceEntry& entry);
   void reconcile(Machine& machine, const wire::InstanceEntry& entry);
 
@@ -37,7 +37,7 @@
   Context& context_;
   MachineLifecycle& lifecycle_;
   AttemptTracker& attempts_;
-  std::map<std::string, Time> releaseRetentionUntil_;  // released hosts, remembered until then
+  std::map<std::string, Time> releaseRetentionUntil_;  // by released host
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 constexpr const char* kJobKeyPrefix = "jobs/";
-// Heartbeat intervals within which a live worker finds a new leader.
+// A live worker finds a new leader within this number of heartbeat intervals.
 constexpr double kFirstHeartbeatIntervals = 1.5;
 
-std::size_t valueSizeLimitOf(const config::Settings& settings) {
+std::size_t valueSizeLimitBytesOf(const config::Settings& settings) {
   return static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxBatchFill);
 }
 }  // namespace
@@ -23,8 +23,8 @@
       jobs(jobTable),
       term(leaderTerm),
       electedAt(sharedContext.now),
-      valueSizeLimit(valueSizeLimitOf(sharedContext.settings)),
-      batches(std::min<std::size_t>(constants::kTargetBatchBytes, valueSizeLimit)),
+      valueSizeLimitBytes(valueSizeLimitBytesOf(sharedContext.settings)),
+      batches(std::min<std::size_t>(constants::kTargetBatchBytes, valueSizeLimitBytes)),
       partitionRevisions_(std::move(partitionRevisions)) {}
 
 void LeaderState::resign(const char* why) {
@@ -38,7 +38,7 @@
   leadership.stepDown(why);
 }
 
-// While this process stood still another leader may have been elected.
+// Another leader can have been elected while this process was suspended.
 bool LeaderState::confirmedSinceResume() const { return confirmedAt() >= context.resumedAt; }
 
 bool LeaderState::canRenewLeases() const {
@@ -54,10 +54,10 @@
 }
 
 std::vector<state::Condition> LeaderState::partitionConditions() const {
-  std::vector<state::Condition> out;
+  std::vector<state::Condition> conditions;
   for (cluster::PartitionId partition = 0; partition < partitionRevisions_.size(); ++partition)
-    out.push_back({cluster::partitionKey(partition), partitionRevisions_[partition]});
-  return out;
+    conditions.push_back({cluster::partitionKey(partition), partitionRevisions_[partition]});
+  return conditions;
 }
 
 void LeaderState::onTransactionRefused(const state::Outcome& outcome, const char* what) {
@@ -65,10 +65,10 @@
     if (key.starts_with(kJobKeyPrefix)) {
       jobFeed.confirm(context.now, [](bool) {});
     } else if (jobs::isProgressKeyOfEndedJob(jobs, key)) {
-      // Its job became final while this transaction was queued, and its progress records were deleted.
+      // The job ended while this transaction was queued, and its progress records were deleted.
     } else {
-      // Another writer has changed a record that only a leader writes, or this leader's view is stale: a new
-      // term reads everything again.
+      // Either another writer has changed a record that only a leader writes, or this leader's copy of the
+      // state is stale. The leader resigns because the next term reads all records again.
       context.event(Level::error, "transaction_refused", {{"what", what}, {"key", key}});
       return resign("a record was not as known");
     }
@@ -76,10 +76,10 @@
 }
 
 std::vector<Machine*> LeaderState::existingMachines() {
-  std::vector<Machine*> out;
+  std::vector<Machine*> existing;
   for (auto& [host, machine] : machines.all())
-    if (machine.phase != MachinePhase::terminated) out.push_back(&machine);
-  return out;
+    if (machine.phase != MachinePhase::terminated) existing.push_back(&machine);
+  return existing;
 }
 
 void LeaderState::forEachAttempt(const std::string& ref,
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -1,4 +1,4 @@
-// The state of one leadership term that the components of the leader share.
+// The state of one leadership term, shared by the components of the leader.
 #pragma once
 
 #include <algorithm>
@@ -24,57 +24,59 @@
 using machines::Machine;
 using machines::MachinePhase;
 
-// Shared by reference among the components of one Leader, on one thread.
+// The components of one Leader share it by reference, on one thread.
 class LeaderState {
  public:
-  // `partitionRevisions`: revision of each partition's key as this leader acquired it, by partition id.
+  // `partitionRevisions` holds the revision of each partition's key as this leader acquired it, by partition
+  // id.
   LeaderState(Context& sharedContext, cluster::Leadership& sharedLeadership, state::Feed& sharedJobFeed,
               jobs::JobTable& jobTable, std::uint64_t leaderTerm,
               std::vector<std::uint64_t> partitionRevisions);
   LeaderState(const LeaderState&) = delete;
 
-  // A prefix for the names of requests and writers of this leader; never used again in a later term.
+  // The prefix for the names of this leader's requests and writers. No later term uses it again.
   std::string uniquePrefix() const { return context.settings.label + "-" + std::to_string(term); }
 
   // Gives up the leadership after an inconsistency; the next leader reads all records again.
   void resign(const char* why);
-  // Hands the leadership to a sibling that may reach the workers better.
+  // Gives up the leadership so that a sibling with a better connection to the workers can take over.
   void stepDown(const char* why);
   // Whether the leadership has been given up, by resign() or stepDown().
   bool resigned() const { return resigned_; }
 
   // Whether the leadership and the job feed were confirmed recently enough to renew worker leases.
   bool canRenewLeases() const;
-  // Whether the leadership was confirmed so recently that no other controller can lead yet. Required for
-  // whatever costs money or gives up machines: a leader behind a network partition would do it beside the
-  // next one.
+  // Whether the leadership was confirmed so recently that no other controller can lead yet. Every action that
+  // costs money or gives up machines requires it: a leader behind a network partition would otherwise act
+  // concurrently with its successor.
   bool holdsLeaderLease() const;
-  // Whether the key-value store has confirmed the leadership since this process last stood still.
+  // Whether the key-value store has confirmed the leadership since this process was last suspended.
   bool confirmedSinceResume() const;
-  // Since when heartbeats could arrive without interruption.
+  // The time since which this leader has been able to receive heartbeats without interruption.
   Time receivingHeartbeatsSince() const { return std::max(recordsLoadedAt, context.resumedAt); }
-  // Whether all live workers have had the time for a heartbeat to this leader.
+  // Whether this leader has acted for long enough that every live worker has had time to send it a heartbeat.
   bool firstHeartbeatWindowElapsed() const;
-  // The time that so many missed heartbeats take, plus a margin in seconds.
+  // The duration of `missedHeartbeats` heartbeat intervals plus a margin.
   wire::Duration heartbeatTimeout(double missedHeartbeats, double marginS) const {
     return wire::seconds(context.settings.workers.heartbeatIntervalS * missedHeartbeats + marginS);
   }
-  // Until then an earlier leader may have renewed the lease of a worker not heard from in this term.
+  // The latest time at which an earlier leader can have renewed the lease of a worker. It stands in for
+  // workers that have sent no heartbeat in this term.
   Time inheritedLeaseRenewal() const { return electedAt + context.settings.answerWindow(); }
 
-  // The conditions of every durable change of a leader: it still holds all partitions.
+  // The conditions of every durable change that a leader makes: it still holds all partitions.
   std::vector<state::Condition> partitionConditions() const;
   // Number of conditions that partitionConditions() returns.
   std::size_t partitionCount() const { return partitionRevisions_.size(); }
-  // Reacts to a transaction whose preconditions failed; `what` names it in the log.
+  // Handles a transaction whose conditions failed. `what` names the transaction in the log.
   void onTransactionRefused(const state::Outcome& outcome, const char* what);
 
-  // Something has changed that the next placement round should take into account.
+  // Requests a placement round because the state that it plans from has changed.
   void requestPlacementRound() { placementRoundRequested = true; }
 
   // All machines that are not known to be terminated.
   std::vector<Machine*> existingMachines();
-  // Visits all attempts of the job's tasks, on whatever machine.
+  // Visits all attempts of the job's tasks on all machines.
   void forEachAttempt(const std::string& ref, const std::function<void(Machine&, Attempt&)>& visit);
 
   Context& context;
@@ -83,16 +85,16 @@
   jobs::JobTable& jobs;
   const std::uint64_t term;
   const Time electedAt;
-  Time recordsLoadedAt{};            // when the records had been loaded
-  const std::size_t valueSizeLimit;  // bytes that one stored value may hold, in JSON form
+  Time recordsLoadedAt{};                 // when all records of earlier leaders had been loaded
+  const std::size_t valueSizeLimitBytes;  // maximum size of one stored value, in bytes of JSON
   machines::MachineTable machines;
   machines::PlacementBatchTable batches;
   std::set<std::uint32_t> staleBatches;  // batches whose stored value names terminated machines
   bool placementRoundRequested = true;
 
  private:
-  // The older of the confirmations of the leadership and of the job feed: the read that confirms must also
-  // have brought in every cancellation.
+  // The older of the confirmations of the leadership and of the job feed: a confirmation counts only if all
+  // cancellations up to then have been read as well.
   Time confirmedAt() const { return std::min(leadership.confirmedAt(), jobFeed.confirmedAt()); }
 
   std::vector<std::uint64_t> partitionRevisions_;
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -5,8 +5,8 @@
 namespace reachhoist::service {
 
 namespace {
-// Bytes that a host name takes in a JSON array beside its text: two quotes and a comma.
-constexpr std::size_t kJsonItemOverhead = 3;
+// A host name in a JSON array takes two quotes and a comma in addition to its text.
+constexpr std::size_t kJsonItemOverheadBytes = 3;
 }  // namespace
 
 MachineLifecycle::MachineLifecycle(LeaderState& state, GangCoordinator& gangs, cloud::Client& cloud)
@@ -51,8 +51,8 @@
     const jobs::Job* job = state_.jobs.find(attempt.task.job.text);
     const double expectedRunTimeS = job != nullptr ? job->spec.expectedRunTimeS : 0;
     const bool running = attempt.phase == AttemptPhase::running;
-    const double ranS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
-    const bool endsInTime = !attempt.isService && running && expectedRunTimeS - ranS < timeUntilReclaimS;
+    const double runTimeS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
+    const bool endsInTime = !attempt.isService && running && expectedRunTimeS - runTimeS < timeUntilReclaimS;
     if (endsInTime) continue;
     gangs_.stop(machine, attempt, attempt.stopGraceS(), timeUntilReclaimS, "spot notice");
   }
@@ -70,31 +70,32 @@
 
 void MachineLifecycle::writeDecommissioning() {
   if (committer_.busy()) return;
-  std::vector<std::string> added;
-  // One key names every machine that is being released; terminated ones leave it with its next write.
-  Json names = Json::array();
-  std::size_t bytes = 0;
+  std::vector<std::string> newHosts;
+  // One key names every machine that is being released. Each write drops the machines that have been
+  // terminated.
+  Json hostList = Json::array();
+  std::size_t hostListBytes = 0;
   const auto fits = [&](const std::string& host) {
-    bytes += host.size() + kJsonItemOverhead;
-    return bytes < state_.valueSizeLimit;
+    hostListBytes += host.size() + kJsonItemOverheadBytes;
+    return hostListBytes < state_.valueSizeLimitBytes;
   };
   for (const auto& [host, machine] : state_.machines.all())
-    if (machine.phase == MachinePhase::terminating && fits(host)) names.push_back(host);
+    if (machine.phase == MachinePhase::terminating && fits(host)) hostList.push_back(host);
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::decommissioning || machine.transactionInFlight || !fits(host))
       continue;
     machine.transactionInFlight = true;
-    names.push_back(host);
-    added.push_back(host);
+    hostList.push_back(host);
+    newHosts.push_back(host);
   }
-  if (added.empty()) return;
+  if (newHosts.empty()) return;
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
   transaction.conditions.push_back({kDecommissioningKey, revision_});
-  transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(names)}}, std::nullopt});
+  transaction.writes.push_back({kDecommissioningKey, Json{{"hosts", std::move(hostList)}}, std::nullopt});
   committer_.commit(
       context_.now, state::Urgency::placement, std::move(transaction),
-      [this, added](const state::Outcome& outcome) { onDecommissioningWritten(added, outcome); });
+      [this, newHosts](const state::Outcome& outcome) { onDecommissioningWritten(newHosts, outcome); });
 }
 
 void MachineLifecycle::onDecommissioningWritten(const std::vector<std::string>& hosts,
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -1,4 +1,4 @@
-// The last phases of a machine: it is drained, decommissioned by a durable record, and released to the cloud.
+// The last phases of a machine: draining, decommissioning by a durable record, and release to the cloud.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,11 @@
 
 namespace reachhoist::service {
 
-// Stored key of the hosts that are being released.
+// The key of the stored list of hosts that are being released.
 inline constexpr const char* kDecommissioningKey = "retiring";
 
-// Which tasks a drain stops. graceful: only services, which go on elsewhere at once; the others may end.
+// Which tasks a drain stops. `graceful` stops only services, which continue on other machines at once; all
+// other tasks run to their end.
 enum class DrainMode { stopAll, graceful };
 
 // Drains and decommissions machines; see machines::MachinePhase for the phases.
@@ -24,24 +25,24 @@
   MachineLifecycle(LeaderState& state, GangCoordinator& gangs, cloud::Client& cloud);
   MachineLifecycle(const MachineLifecycle&) = delete;
 
-  // Fills in the capacity of the machine from the catalogue, once that is known.
+  // Fills in the machine's capacity, image cache size and pull rate from the catalogue, if it has been read.
   void applyMachineType(Machine& machine) const;
 
-  // The machine gets no new work; once it is empty, advance() decommissions it. `why` is logged.
+  // Stops placing work on the machine; advance() decommissions it once it is empty. `why` is logged.
   void drain(Machine& machine, const char* why, DrainMode mode = DrainMode::stopAll);
-  // Gives the machine up, with whatever runs on it. `why` is logged.
+  // Gives the machine up together with all attempts on it. `why` is logged.
   void decommission(Machine& machine, const char* why);
-  // The cloud is about to take the spot instance back: stops all tasks that won't end before.
+  // Stops all tasks that won't end before the cloud reclaims the spot instance.
   void evictForSpotNotice(Machine& machine);
 
-  // Decommissions drained machines that are empty, and drains spot instances under notice that are empty.
+  // Decommissions empty draining machines, and drains empty spot instances that have a reclaim notice.
   void advance();
-  // Goes on with the transaction in flight.
+  // Continues the transaction in flight, for example with a retry.
   void tick() { committer_.tick(context_.now); }
-  // Begins the transaction that records the machines to be released, if there are new ones; when it has been
-  // applied they are released to the cloud.
+  // Begins the transaction that records the machines to be released, if there are new ones. When it has been
+  // applied, the machines are released to the cloud.
   void writeDecommissioning();
-  // The stored record has been loaded and has this revision.
+  // Sets the revision of the stored record, which has been loaded.
   void setStoredRevision(std::uint64_t revision) { revision_ = revision; }
 
  private:
@@ -51,8 +52,8 @@
   Context& context_;
   GangCoordinator& gangs_;
   cloud::Client& cloud_;
-  // A writer of its own, as urgent as placements: until it is released a machine costs money, and the work
-  // that ran on it waits.
+  // Decommissioning has its own writer, as urgent as placements: until a machine is released it costs money,
+  // and the work that ran on it waits.
   state::Committer committer_;
   std::uint64_t revision_ = 0;  // of the stored record
 };
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -39,14 +39,15 @@
 // --- decisions ---------------------------------------------------------------------------------------------
 
 placement::SchedulingInput PlacementScheduler::schedulingInput() {
-  const std::size_t ops = context_.settings.stateLimits.opsPerTransaction;
-  placement::SchedulingInput input{context_.settings,
-                                   context_.now,
-                                   context_.wallClockMs,
-                                   {},
-                                   {},
-                                   {},
-                                   4 * ops - constants::kMaxBatchesPerRound - state_.partitionCount()};
+  const std::size_t opsPerTransaction = context_.settings.stateLimits.opsPerTransaction;
+  placement::SchedulingInput input{
+      context_.settings,
+      context_.now,
+      context_.wallClockMs,
+      {},
+      {},
+      {},
+      4 * opsPerTransaction - constants::kMaxBatchesPerRound - state_.partitionCount()};
   for (const std::string& ref : state_.jobs.openJobs()) {
     jobs::Job* job = state_.jobs.find(ref);
     input.openJobs.push_back(job);
@@ -66,26 +67,29 @@
   placement::PlacementPlan plan = placement::planPlacements(input);
   shares_.onPlanned(plan);
   unplaced_ = std::move(plan.unplaced);
-  // Waiting work is looked at again when something has changed, or when time alone may have changed it.
-  const bool idle = plan.assignments.empty() && plan.preemptions.empty();
-  nextPlanAt_ = context_.now + (idle ? constants::kIdleRoundInterval : constants::kMinRoundInterval);
+  // The next round begins when the state has changed, or after a while because backoffs and missed heartbeats
+  // change it without any event.
+  const bool foundNothing = plan.assignments.empty() && plan.preemptions.empty();
+  nextPlanAt_ = context_.now + (foundNothing ? constants::kIdleRoundInterval : constants::kMinRoundInterval);
   replanAt_ = context_.now + constants::kReplanInterval;
   preempt(plan.preemptions);
   return plan;
 }
 
-void PlacementScheduler::preempt(const std::vector<placement::Preemption>& stops) {
-  for (const placement::Preemption& stop : stops) {
-    Attempt* attempt = stop.machine->find(stop.task, stop.attempt);
+void PlacementScheduler::preempt(const std::vector<placement::Preemption>& preemptions) {
+  for (const placement::Preemption& preemption : preemptions) {
+    Attempt* attempt = preemption.machine->find(preemption.task, preemption.attempt);
     if (attempt == nullptr) continue;
-    context_.event(Level::info, "preempt", {{"task", stop.task.str()}, {"machine", stop.machine->host.text}});
-    gangs_.stop(*stop.machine, *attempt, stop.gracePeriodS, constants::kUnlimitedStopTimeS, "preempted");
+    context_.event(Level::info, "preempt",
+                   {{"task", preemption.task.str()}, {"machine", preemption.machine->host.text}});
+    gangs_.stop(*preemption.machine, *attempt, preemption.gracePeriodS, constants::kUnlimitedStopTimeS,
+                "preempted");
   }
 }
 
 bool PlacementScheduler::mayPreemptForShares() const {
-  // Before a new leader has heard from the workers, all tasks look freshly started, and those that an earlier
-  // leader has stopped look as if they went on.
+  // Until the workers have sent heartbeats to a new leader, all tasks appear to have just started, and those
+  // that an earlier leader has stopped appear to continue.
   return state_.firstHeartbeatWindowElapsed() && state_.holdsLeaderLease();
 }
 
@@ -94,13 +98,13 @@
 void PlacementScheduler::reserveRemainingGangTasks(Round& round) {
   if (reservingGangs_.empty()) return;
   state_.batches.recountBytes(state_.machines);
-  for (auto at = reservingGangs_.begin(); at != reservingGangs_.end();) {
+  for (auto it = reservingGangs_.begin(); it != reservingGangs_.end();) {
     bool complete = true;
-    state_.forEachAttempt(*at, [&](Machine& machine, Attempt& attempt) {
+    state_.forEachAttempt(*it, [&](Machine& machine, Attempt& attempt) {
       if (attempt.phase != AttemptPhase::planned || attempt.batch) return;
       if (!tryReserveGangTask(machine, attempt, round)) complete = false;
     });
-    at = complete ? reservingGangs_.erase(at) : std::next(at);
+    it = complete ? reservingGangs_.erase(it) : std::next(it);
   }
 }
 
@@ -125,7 +129,7 @@
   state_.batches.recountBytes(state_.machines);
   for (const placement::Assignment& assignment : assignments) {
     if (tryAddAssignment(assignment, round)) continue;
-    state_.requestPlacementRound();  // the others go with the next round
+    state_.requestPlacementRound();  // the next round places the others
     return;
   }
 }
@@ -136,39 +140,40 @@
   Attempt attempt;
   attempt.task = wire::TaskId{job.spec.ref, assignment.index};
   attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kMaxBatchesPerRound);
-  const bool gangBegun = job.isGang() && job.gang.state == jobs::GangState::reserving;
-  if (!attempt.batch && !gangBegun) return false;
-  // The placements of a gang are decided at once, though they may need several transactions.
+  const bool gangAttemptBegun = job.isGang() && job.gang.state == jobs::GangState::reserving;
+  if (!attempt.batch && !gangAttemptBegun) return false;
+  // All placements of a gang are decided in one round, though they can need several transactions.
   if (!attempt.batch) reservingGangs_.insert(job.spec.ref.text);
-  // Never given twice, by any leader of any term. The tasks of a gang attempt share their number.
-  attempt.number = gangBegun ? job.gang.attemptNumber : cluster::fencingToken(state_.term, ++attemptCount_);
-  if (job.isGang() && !gangBegun) gangs_.beginAttempt(job, attempt.number);
+  // An attempt number is unique over all leaders and terms. The tasks of a gang attempt share one number.
+  attempt.number =
+      gangAttemptBegun ? job.gang.attemptNumber : cluster::fencingToken(state_.term, ++attemptCount_);
+  if (job.isGang() && !gangAttemptBegun) gangs_.beginAttempt(job, attempt.number);
   setResourceFields(attempt, job.spec);
   setSchedulingFields(attempt, job);
   attempt.phaseSince = attempt.placedAt = context_.now;
-  const bool inRound = attempt.batch.has_value();
+  const bool isInRound = attempt.batch.has_value();
   machine.attempts.push_back(std::move(attempt));
   machine.transactionInFlight = true;
   job.setTaskPhase(assignment.index, jobs::TaskPhase::placed, context_.now);
-  if (!inRound) return true;
+  if (!isInRound) return true;
   round.hosts.insert(machine.host.text);
   round.jobs.insert(job.spec.ref.text);
   return true;
 }
 
 void PlacementScheduler::addStaleBatches(Round& round) {
-  // They are written along with others, or by themselves after a while.
+  // Stale batches are written together with others, or alone after a while.
   if (state_.staleBatches.empty() || (round.batches.empty() && context_.now < nextCleanupAt_)) return;
   state_.batches.recountBytes(state_.machines);
-  for (auto at = state_.staleBatches.begin();
-       at != state_.staleBatches.end() && round.batches.size() < constants::kMaxBatchesPerRound;) {
-    if (!round.batches.contains(*at) &&
-        !state_.batches.shrinkBatch(state_.machines, *at, round.batches, constants::kMaxBatchesPerRound)) {
-      ++at;  // what has moved to other batches is written first
+  for (auto it = state_.staleBatches.begin();
+       it != state_.staleBatches.end() && round.batches.size() < constants::kMaxBatchesPerRound;) {
+    if (!round.batches.contains(*it) &&
+        !state_.batches.shrinkBatch(state_.machines, *it, round.batches, constants::kMaxBatchesPerRound)) {
+      ++it;  // the batches that its attempts have moved to are written first
       continue;
     }
-    round.batches.insert(*at);
-    at = state_.staleBatches.erase(at);
+    round.batches.insert(*it);
+    it = state_.staleBatches.erase(it);
   }
 }
 
@@ -199,7 +204,8 @@
   state_.requestPlacementRound();
   const bool applied = outcome.verdict == state::Verdict::applied;
   if (applied)
-    for (const auto& [number, named] : batches) state_.batches.setStored(number, outcome.revision, named);
+    for (const auto& [number, hostNames] : batches)
+      state_.batches.setStored(number, outcome.revision, hostNames);
   std::set<std::string> gangs;
   for (const std::string& host : hosts)
     if (Machine* machine = state_.machines.find(host); machine != nullptr)
@@ -215,13 +221,14 @@
   for (Attempt& attempt : machine.attempts) {
     if (attempt.phase != AttemptPhase::planned) continue;
     if (!attempt.batch || !batches.contains(*attempt.batch)) {
-      machine.transactionInFlight = true;  // a gang task whose placement goes with the next transaction
+      machine.transactionInFlight = true;  // the next transaction places this gang task
       continue;
     }
     if (attempt.isGangMember) gangs.insert(attempt.task.job.text);
-    // Stopped meanwhile, or on a machine that is given up: it was never started, so it is free.
-    const bool wanted = !attempt.stopRequested && machine.phase == MachinePhase::up;
-    if (!applied || !wanted) {
+    // An attempt that was stopped in the meantime, or whose machine is being given up, has never been started
+    // and can be released at once.
+    const bool isStillWanted = !attempt.stopRequested && machine.phase == MachinePhase::up;
+    if (!applied || !isStillWanted) {
       attempts_.release(machine, attempt, "not placed");
       continue;
     }
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -1,5 +1,5 @@
-// Placement rounds: decisions and the transactions that make them durable. While one transaction is in flight
-// the work of the next round gathers, so that batches grow with the load.
+// Placement rounds: placement decisions and the transactions that make them durable. While a transaction is
+// in flight, tasks accumulate for the next round, so that batches grow with the load.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +18,25 @@
 
 namespace reachhoist::service {
 
-// Plans rounds, preempts tasks for them, and writes the placement batches they change.
+// Plans placement rounds, preempts tasks for them, and writes the placement batches that they change.
 class PlacementScheduler {
  public:
   PlacementScheduler(LeaderState& state, WorkerCommands& commands, GangCoordinator& gangs,
                      AttemptTracker& attempts);
   PlacementScheduler(const PlacementScheduler&) = delete;
 
-  // Goes on with the transaction in flight.
+  // Continues the transaction in flight, for example with a retry.
   void tick() { committer_.tick(context_.now); }
   // Starts the next round if it is due and no transaction is in flight.
   void startRound();
-  // Writes the status of the shares when it is due.
+  // Writes the share status when it is due, and requests a round when the share table has changed.
   void updateShares();
-  // What the latest round found no capacity for.
+  // The demand for which the latest round found no capacity.
   const std::vector<placement::UnplacedDemand>& unplaced() const { return unplaced_; }
 
  private:
-  // What one transaction will write: batches, and the jobs and hosts of the attempts placed in them.
+  // The content of one transaction: the batches to write, and the jobs and hosts of the attempts placed in
+  // them.
   struct Round {
     std::set<std::uint32_t> batches;
     std::set<std::string> jobs;
@@ -45,23 +46,25 @@
 
   placement::PlacementPlan plan();
   placement::SchedulingInput schedulingInput();
-  void preempt(const std::vector<placement::Preemption>& stops);
-  // Whether tasks may be preempted for the sake of shares.
+  void preempt(const std::vector<placement::Preemption>& preemptions);
+  // Whether this leader can preempt tasks to enforce shares.
   bool mayPreemptForShares() const;
-  // Places gang tasks that did not fit into the batches of the round that decided on them.
+  // Adds the gang tasks that did not fit into the batches of the round that planned them.
   void reserveRemainingGangTasks(Round& round);
-  // Whether the gang task is settled for this round; false if the round's batches are full.
+  // Adds the gang task to the round, or releases it if it is no longer wanted. Returns false if the round's
+  // batches are full.
   bool tryReserveGangTask(Machine& machine, Attempt& attempt, Round& round);
-  // Takes the assignments for which the round's batches have capacity.
+  // Adds the assignments to the round until its batches are full.
   void addAssignments(const std::vector<placement::Assignment>& assignments, Round& round);
-  // False if the round's batches are full.
+  // Adds the assignment to the round. Returns false if the round's batches are full.
   bool tryAddAssignment(const placement::Assignment& assignment, Round& round);
-  // Adds batches to the round that name terminated machines.
+  // Adds batches that name terminated machines to the round, so that they are rewritten without them.
   void addStaleBatches(Round& round);
   void commit(const Round& round);
   void onCommitted(const std::set<std::string>& hosts, const HostsByBatch& batches,
                    const state::Outcome& outcome);
-  // Starts or releases the machine's attempts that were in the transaction; adds their gangs to `gangs`.
+  // Marks the machine's attempts that were in the transaction as recorded, or releases them. Adds the
+  // references of their gangs to `gangs`.
   void applyOutcome(Machine& machine, const HostsByBatch& batches, bool applied,
                     std::set<std::string>& gangs);
 
@@ -74,7 +77,7 @@
   RoundShares shares_;
   std::uint64_t attemptCount_ = 0;
   std::vector<placement::UnplacedDemand> unplaced_;
-  std::set<std::string> reservingGangs_;  // gangs with tasks whose placement is in no transaction yet
+  std::set<std::string> reservingGangs_;  // gangs with tasks that no transaction places yet
   Time nextPlanAt_{};
   Time replanAt_{};
   Time nextCleanupAt_{};
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -9,22 +9,23 @@
 namespace reachhoist::service {
 
 namespace {
-// Enough digits for a task among 4,000 machines; with more of them every status would differ from the last.
+// Rounds to a resolution that still shows one task among 4,000 machines. With more digits every status would
+// differ from the one before.
 double roundedShare(double share) {
-  constexpr double kDigits = 1e5;
-  return std::round(share * kDigits) / kDigits;
+  constexpr double kStepsPerUnit = 1e5;
+  return std::round(share * kStepsPerUnit) / kStepsPerUnit;
 }
 }  // namespace
 
-void RoundShares::prepare(placement::SchedulingInput& world, bool mayPreemptForShares) {
+void RoundShares::prepare(placement::SchedulingInput& input, bool mayPreemptForShares) {
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
-  world.shares = &*context_.shares;
-  world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemptionAt_;
+  input.shares = &*context_.shares;
+  input.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemptionAt_;
 }
 
 void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
-  // The search walks over all machines: what it could not find now is not searched for in every round.
+  // The search examines all machines, so it is not repeated in every round when it has found nothing.
   if (plan.triedSharePreemption) nextPreemptionAt_ = context_.now + constants::kReplanInterval;
   if (plan.sharePreemptions == 0) return;
   nextPreemptionAt_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
@@ -32,14 +33,14 @@
                  {{"stops", plan.sharePreemptions}, {"generation", generation_}});
 }
 
-Json RoundShares::status() {
+Json RoundShares::encodeStatus() {
   std::vector<Machine*> machines;
   for (auto& [host, machine] : state_.machines.all()) machines.push_back(&machine);
-  std::vector<const jobs::Job*> open;
-  for (const std::string& ref : state_.jobs.openJobs()) open.push_back(state_.jobs.find(ref));
+  std::vector<const jobs::Job*> openJobs;
+  for (const std::string& ref : state_.jobs.openJobs()) openJobs.push_back(state_.jobs.find(ref));
   const shares::Table& table = *context_.shares;
   const shares::UsageSnapshot usage = shares::takeUsageSnapshot(
-      table, context_.settings, machines, open, placement::ranksAboveShares(context_.settings, open));
+      table, context_.settings, machines, openJobs, placement::ranksAboveShares(context_.settings, openJobs));
   const auto groupShares = shares::allocateFairShares(usage.capacity, usage.loads);
   const auto converged = shares::converged(usage, groupShares);
   Json groups = Json::array();
@@ -57,7 +58,7 @@
 void RoundShares::tick() {
   if (!context_.shares || !state_.holdsLeaderLease() || context_.now < nextStatusAt_) return;
   nextStatusAt_ = context_.now + constants::kShareStatusInterval;
-  Json current = status();
+  Json current = encodeStatus();
   if (current == writtenStatus_) return;
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
--- a/src/service/leader/round_shares.hpp
+++ b/src/service/leader/round_shares.hpp
@@ -1,4 +1,4 @@
-// The share table in placement rounds.
+// Applies the share table to placement rounds.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,29 @@
 
 namespace reachhoist::service {
 
-// Hands the share table to the placement rounds, paces preemption for the sake of shares, and writes the
+// Passes the share table to the placement rounds, limits the rate of preemption for shares, and writes the
 // groups' status for operators.
 class RoundShares {
  public:
   explicit RoundShares(LeaderState& state) : state_(state), context_(state.context) {}
   RoundShares(const RoundShares&) = delete;
 
-  // Before a round: sets the table in `world`, and whether the round may preempt for the sake of shares.
-  void prepare(placement::SchedulingInput& world, bool mayPreemptForShares);
-  // After the round.
+  // To be called before a round: sets the share table in `input`, and whether the round can preempt for
+  // shares.
+  void prepare(placement::SchedulingInput& input, bool mayPreemptForShares);
+  // To be called after the round: limits when the next round can preempt for shares.
   void onPlanned(const placement::PlacementPlan& plan);
-  // Whether a table is in force that no round has used.
+  // Whether a share table is in force that no round has used yet.
   bool hasNewTable() const { return context_.shares && context_.shares->generation != generation_; }
   // Writes the status when it is due and has changed, while the leader lease is held.
   void tick();
 
  private:
-  Json status();
+  Json encodeStatus();
 
   LeaderState& state_;
   Context& context_;
-  std::uint64_t generation_ = 0;  // of the table in the latest round
+  std::uint64_t generation_ = 0;  // of the share table in the latest round
   Time nextPreemptionAt_{};
   Time nextStatusAt_{};
   Json writtenStatus_;
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -13,10 +13,10 @@
 }
 
 double ServiceFailover::placedHighPriorityVcpus(const Machine& machine) {
-  double cpus = 0;
+  double vcpus = 0;
   for (const Attempt& attempt : machine.attempts)
-    if (isPlacedHighPriority(attempt)) cpus += attempt.resources.vcpus;
-  return cpus;
+    if (isPlacedHighPriority(attempt)) vcpus += attempt.resources.vcpus;
+  return vcpus;
 }
 
 bool ServiceFailover::isPartitioned(const Machine& machine) const {
@@ -30,31 +30,32 @@
     const bool reachable = machine.phase == MachinePhase::up && machine.contact.tokenAcknowledged &&
                            !machine.contact.unreachable && !machine.spotNoticeAt && !machine.spot;
     if (reachable) capacity += std::max(0.0, machine.freeCapacity().vcpus);
-    // Services of machines that are being given up will move to the same capacity.
+    // Services on machines that are being given up will need the same capacity.
     if (machine.phase != MachinePhase::decommissioning && machine.phase != MachinePhase::terminating)
       continue;
     for (const Attempt& attempt : machine.attempts)
       if (isPlacedHighPriority(attempt)) capacity -= attempt.resources.vcpus;
   }
-  for (const placement::UnplacedDemand& unmet : scheduler_.unplaced())
-    if (unmet.job->spec.priority >= wire::Priority::high)
-      capacity -= unmet.job->spec.taskResources.vcpus * unmet.tasks;
+  for (const placement::UnplacedDemand& demand : scheduler_.unplaced())
+    if (demand.job->spec.priority >= wire::Priority::high)
+      capacity -= demand.job->spec.taskResources.vcpus * demand.tasks;
   return capacity;
 }
 
 void ServiceFailover::moveServices() {
   if (partitions_.zones().empty() || partitions_.selfPartitioned()) return;
   double capacity = vcpusForServices();
-  const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
-  // A machine not heard from in this term may have been partitioned from the earlier leader for long.
-  const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  const auto moveDelay = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
+  // A machine without a heartbeat in this term can have been partitioned from the earlier leader for a long
+  // time.
+  const auto moveDelayWithoutHeartbeat = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
-    const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
-    if (context_.now - machine.contact.lastHeartbeatAt < patience) continue;
-    const double cpus = placedHighPriorityVcpus(machine);
-    if (cpus == 0 || cpus > capacity) continue;
-    capacity -= cpus;
+    const auto delay = machine.sequence == 0 ? moveDelayWithoutHeartbeat : moveDelay;
+    if (context_.now - machine.contact.lastHeartbeatAt < delay) continue;
+    const double vcpus = placedHighPriorityVcpus(machine);
+    if (vcpus == 0 || vcpus > capacity) continue;
+    capacity -= vcpus;
     lifecycle_.decommission(machine, "network partition");
   }
 }
@@ -67,11 +68,11 @@
     for (const Attempt& attempt : machine.attempts)
       if (isPlacedHighPriority(attempt)) ++tasksByJob[attempt.task.job.text];
   }
-  std::vector<placement::UnplacedDemand> out;
+  std::vector<placement::UnplacedDemand> atRisk;
   for (const auto& [ref, tasks] : tasksByJob)
     if (const jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
-      out.push_back(placement::UnplacedDemand{job, tasks});
-  return out;
+      atRisk.push_back(placement::UnplacedDemand{job, tasks});
+  return atRisk;
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/service_failover.hpp
+++ b/src/service/leader/service_failover.hpp
@@ -11,7 +11,7 @@
 
 namespace reachhoist::service {
 
-// Finds the services on machines behind a network partition, and moves them while there is capacity.
+// Finds the services on machines behind a network partition, and moves them as far as there is capacity.
 class ServiceFailover {
  public:
   ServiceFailover(LeaderState& state, MachineLifecycle& lifecycle, const PlacementScheduler& scheduler,
@@ -23,20 +23,21 @@
         partitions_(partitions) {}
   ServiceFailover(const ServiceFailover&) = delete;
 
-  // Decommissions machines in partitioned zones whose services have little of their leases left, as far as
-  // there is capacity for the services elsewhere. The cloud's confirmation of the release proves at once that
-  // they have ended, so that they move now and not after the margins of lease expiry.
+  // Decommissions machines in partitioned zones once most of their lease has passed, as far as there is
+  // capacity for their services elsewhere. The cloud's confirmation of the release proves that the services
+  // have ended, so that they move before the lease and its safety margins have run out.
   void moveServices();
-  // The services on machines in partitioned zones, by job.
+  // The services on machines in partitioned zones, as one entry per job.
   std::vector<placement::UnplacedDemand> servicesAtRisk() const;
 
  private:
-  // An attempt of high priority that is placed and not being stopped.
+  // Whether the attempt has at least high priority, is placed, and is not being stopped.
   static bool isPlacedHighPriority(const Attempt& attempt);
-  // vCPUs of the machine's placed services.
+  // The vCPUs of the machine's placed attempts of high priority.
   static double placedHighPriorityVcpus(const Machine& machine);
-  // vCPUs on reachable on-demand machines that are free for services to move to.
+  // The free vCPUs on reachable on-demand machines to which services can move.
   double vcpusForServices() const;
+  // Whether the machine is unreachable in a partitioned zone.
   bool isPartitioned(const Machine& machine) const;
 
   LeaderState& state_;
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -24,7 +24,7 @@
   nextSaveAt_ = context_.now + constants::kSizingStateSaveInterval;
   state::Transaction transaction;
   transaction.conditions = state_.partitionConditions();
-  transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimit), std::nullopt});
+  transaction.writes.push_back({kSizingStateKey, sizing_.encode(state_.valueSizeLimitBytes), std::nullopt});
   context_.state.transact(context_.now, state::Urgency::background, transaction, [](const auto&) {});
 }
 
--- a/src/service/leader/sizing_state_store.hpp
+++ b/src/service/leader/sizing_state_store.hpp
@@ -1,4 +1,4 @@
-// Keeps a copy of the sizing state in the key-value store for the next leader.
+// Stores the sizing state in the key-value store for the next leader.
 #pragma once
 
 #include "fleet/sizing.hpp"
@@ -14,7 +14,8 @@
       : state_(state), context_(state.context), sizing_(sizing) {}
   SizingStateStore(const SizingStateStore&) = delete;
 
-  // Starts to load the stored copy. Nothing waits for it: until it is there, sizing follows the queues.
+  // Starts to load the stored copy. No component waits for it: until it has been loaded, sizing follows the
+  // queues.
   void load();
   // Saves a copy when it is due.
   void tick();
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -11,11 +11,12 @@
 constexpr const char* kBatchPrefix = "placed/";
 constexpr const char* kCompletionPrefix = "done/";
 
-// Parses `text` from `begin` on; nothing if there is no number. `end`: position after the number.
+// Parses the number in `text` at `begin` and sets `end` to the position after it. Returns no value if there
+// is no number.
 std::optional<std::uint32_t> parseNumber(const std::string& text, std::size_t begin, std::size_t& end) {
   std::uint32_t number = 0;
-  const char* const last = text.data() + text.size();
-  const auto [parsedTo, error] = std::from_chars(text.data() + begin, last, number);
+  const char* const textEnd = text.data() + text.size();
+  const auto [parsedTo, error] = std::from_chars(text.data() + begin, textEnd, number);
   if (error != std::errc{}) return std::nullopt;
   end = static_cast<std::size_t>(parsedTo - text.data());
   return number;
@@ -43,8 +44,8 @@
 
 void StateLoader::startReads() {
   retryAt_ = context_.now + constants::kStateLoadTimeout;
-  const auto missing = unreadKinds_;
-  for (const RecordKind kind : missing) startRead(kind);
+  const auto kinds = unreadKinds_;
+  for (const RecordKind kind : kinds) startRead(kind);
 }
 
 void StateLoader::startRead(RecordKind kind) {
@@ -65,7 +66,7 @@
   listRecords(kind, "");
 }
 
-// The job feed reads the jobs all the time: it only has to be up to date.
+// The job feed reads the jobs continuously, so the loader only waits until the feed is up to date.
 void StateLoader::confirmJobs() {
   ++readsInFlight_;
   state_.jobFeed.confirm(context_.now, guard_.wrap([this](bool ok) {
@@ -87,7 +88,7 @@
     case RecordKind::decommissioning:
       return kDecommissioningKey;
     case RecordKind::jobs:
-      break;  // not listed, see confirmJobs()
+      break;  // the job feed reads them, see confirmJobs()
   }
   return {};
 }
@@ -107,17 +108,17 @@
     return;
   }
   const std::size_t prefixLength = prefixOf(kind).size();
-  std::string last;
+  std::string lastKey;
   for (const Json& pair : *pairs) {
     const auto key = wire::textField(pair, "key");
     const Json* value = wire::field(pair, "value");
     if (!key || value == nullptr) continue;
-    last = *key;
+    lastKey = *key;
     const std::uint64_t revision = wire::countField(pair, "stamp").value_or(0);
     adoptRecord(kind, key->substr(prefixLength), *value, revision);
   }
   const bool more = wire::flagField(result.body, "more").value_or(false);
-  if (more && !last.empty()) return listRecords(kind, last);
+  if (more && !lastKey.empty()) return listRecords(kind, lastKey);
   unreadKinds_.erase(kind);
 }
 
@@ -131,7 +132,7 @@
     case RecordKind::decommissioning:
       return adoptDecommissioning(value, revision);
     case RecordKind::jobs:
-      return;  // by the job feed
+      return;  // the job feed adopts them
   }
 }
 
@@ -169,7 +170,7 @@
   std::set<std::string> hostNames;
   if (hosts)
     for (const machines::BatchedHost& record : *hosts) hostNames.insert(record.host);
-  // Also a batch that can't be decoded has a revision, on which its next write depends.
+  // A batch that can't be decoded also has a revision, on which its next write depends.
   state_.batches.setStored(*number, revision, std::move(hostNames));
   if (!hosts) {
     context_.event(Level::error, "bad_record", {{"page", name}});
@@ -191,7 +192,7 @@
   machine.idleSince = context_.now;
   machine.contact.leaseRenewedAt = state_.inheritedLeaseRenewal();
   for (const auto& [task, attemptNumber] : record.placed) {
-    // While it moves from a batch that has grown too large to another, both name it.
+    // Two batches name the attempt while it moves out of one that has grown too large.
     if (machine.find(task, attemptNumber) != nullptr) continue;
     Attempt attempt;
     attempt.task = task;
@@ -223,7 +224,7 @@
   }
   completionChunks_.clear();
   for (const std::string& ref : state_.jobs.openJobs())
-    if (state_.jobs.find(ref)->isFinished()) records_.jobFinished(ref);
+    if (state_.jobs.find(ref)->isFinished()) records_.allTasksCompleted(ref);
 }
 
 void StateLoader::applyDecommissioning() {
@@ -245,7 +246,7 @@
 
 void StateLoader::applyAttempt(Attempt& attempt) {
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
-  // Also when the job has ended since: until it is proven gone, the attempt counts for its team.
+  // The attempt counts toward its team's usage until it is proven gone, even if its job has ended.
   if (job != nullptr) setResourceFields(attempt, job->spec);
   if (job == nullptr || !job->isOpen() || attempt.task.index >= job->spec.taskCount) {
     attempt.stopRequested = true;
--- a/src/service/leader/state_loader.hpp
+++ b/src/service/leader/state_loader.hpp
@@ -16,19 +16,19 @@
 
 namespace reachhoist::service {
 
-// Reads all record kinds from the key-value store and then hands them to the leader's components.
+// Reads all kinds of records from the key-value store and then passes them to the leader's components.
 class StateLoader {
  public:
   StateLoader(LeaderState& state, CompletionRecords& records, GangCoordinator& gangs,
               MachineLifecycle& lifecycle, cloud::Client& cloud);
   StateLoader(const StateLoader&) = delete;
 
-  // Sends reads that are due. When all records have been read, applies them and returns true; not to be
+  // Sends the reads that are due. When all records have been read, applies them and returns true. Must not be
   // called again after that.
   bool tick();
 
  private:
-  // In the order in which they are read.
+  // The kinds of records, in the order in which they are read.
   enum class RecordKind { completions, jobs, placementBatches, decommissioning };
   // A stored chunk of the completed tasks of a job array.
   struct CompletionChunk {
@@ -39,13 +39,13 @@
   };
 
   static std::string prefixOf(RecordKind kind);
-  // Reads each kind that is still missing from its beginning.
+  // Starts to read each kind that has not been read completely, from its first record.
   void startReads();
   void startRead(RecordKind kind);
   void confirmJobs();
   void listRecords(RecordKind kind, const std::string& after);
   void onRecordsListed(RecordKind kind, const wire::CallResult& result);
-  // `name`: the key without the prefix of its kind.
+  // `name` is the key without the prefix of its kind.
   void adoptRecord(RecordKind kind, const std::string& name, const Json& value, std::uint64_t revision);
   void adoptPlacementBatch(const std::string& name, const Json& value, std::uint64_t revision);
   void adoptMachine(const machines::BatchedHost& record, std::uint32_t batch);
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -11,7 +11,8 @@
   job->failures.recordFailure(machine.host.text,
                               ran ? context_.now - attempt.runningSince : wire::Duration{});
   if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
-    // It failed on every machine: a few of its tasks are retried ever more rarely until its user cancels it.
+    // The job failed on every machine it was tried on. A few of its tasks are retried, at growing intervals,
+    // until the user cancels the job.
     if (jobsFailingEverywhere_.insert(ref).second) {
       context_.event(Level::info, "job_faulty", {{"job", ref}});
       clearMachineSuspicion(ref);
@@ -30,18 +31,18 @@
 }
 
 void TaskFailurePolicy::clearRecoveredJobs() {
-  for (auto at = jobsFailingEverywhere_.begin(); at != jobsFailingEverywhere_.end();) {
-    jobs::Job* job = state_.jobs.find(*at);
+  for (auto it = jobsFailingEverywhere_.begin(); it != jobsFailingEverywhere_.end();) {
+    jobs::Job* job = state_.jobs.find(*it);
     const bool ended = job == nullptr || !job->isOpen();
-    if (!ended && job->failures.jobAtFault() && !succeedsElsewhere(*at, std::nullopt)) {
-      ++at;
+    if (!ended && job->failures.jobAtFault() && !succeedsElsewhere(*it, std::nullopt)) {
+      ++it;
       continue;
     }
     if (!ended && job->failures.jobAtFault()) {
       job->failures.reset();
       state_.requestPlacementRound();
     }
-    at = jobsFailingEverywhere_.erase(at);
+    it = jobsFailingEverywhere_.erase(it);
   }
 }
 
@@ -49,16 +50,16 @@
     const std::string& ref, std::optional<std::reference_wrapper<const Machine>> excluded) const {
   const jobs::Job* job = state_.jobs.find(ref);
   if (job != nullptr && job->isOpen() && job->completedCount > 0) return true;
-  // Each task of a faulty job may run for a while before it fails.
-  const auto longEnough =
+  // Each task of a defective job can run for a while before it fails.
+  const auto successRunTime =
       constants::kHealthyRunTime + (job != nullptr ? job->failures.longestRun() : wire::Duration{});
   for (const auto& [host, machine] : state_.machines.all()) {
     if (excluded && &excluded->get() == &machine) continue;
     for (const Attempt& attempt : machine.attempts) {
-      // Tasks of a gang run together with the one that failed: that they ran proves nothing.
+      // Tasks of a gang run together with the one that failed, so their run time does not show success.
       if (attempt.task.job.text != ref || attempt.isGangMember) continue;
       if (attempt.phase == AttemptPhase::ended && attempt.cause == wire::Cause::done) return true;
-      if (attempt.isExecuting() && context_.now - attempt.phaseSince > longEnough) return true;
+      if (attempt.isExecuting() && context_.now - attempt.phaseSince > successRunTime) return true;
     }
   }
   return false;
@@ -66,16 +67,17 @@
 
 void TaskFailurePolicy::evaluateQuarantine(Machine& machine) {
   if (machine.faults.consecutiveErrors < constants::kSuspectAfterErrors || machine.faults.quarantined) return;
-  bool allJobsFaulty = true;
+  bool allJobsFailElsewhere = true;
   for (const std::string& ref : machine.faults.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
       machine.faults.quarantined = true;
       return lifecycle_.drain(machine, "quarantined");
     }
     const jobs::Job* job = state_.jobs.find(ref);
-    if (job != nullptr && job->isOpen() && job->failures.failedMachineCount() < 2) allJobsFaulty = false;
+    if (job != nullptr && job->isOpen() && job->failures.failedMachineCount() < 2)
+      allJobsFailElsewhere = false;
   }
-  if (allJobsFaulty) machine.faults.clear();
+  if (allJobsFailElsewhere) machine.faults.clear();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/task_failure_policy.hpp
+++ b/src/service/leader/task_failure_policy.hpp
@@ -1,5 +1,5 @@
-// Attributes task failures to a faulty machine or to a faulty job. A faulty job fails on every machine, a
-// faulty machine fails every job; what tells them apart is how the same job does on other machines, and
+// Attributes task failures to the machine or to the job. A defective job fails on every machine, and a
+// defective machine fails every job. The results of the same job on other machines distinguish the two, so
 // failed tasks are always retried on another machine first.
 #pragma once
 
@@ -13,22 +13,23 @@
 
 namespace reachhoist::service {
 
-// Suspects and quarantines machines, and slows down the retries of jobs that fail everywhere.
+// Suspends placement on suspect machines, quarantines machines, and slows down the retries of jobs that fail
+// on every machine.
 class TaskFailurePolicy {
  public:
   TaskFailurePolicy(LeaderState& state, MachineLifecycle& lifecycle)
       : state_(state), context_(state.context), lifecycle_(lifecycle) {}
   TaskFailurePolicy(const TaskFailurePolicy&) = delete;
 
-  // The task attempt has failed on the machine.
+  // Records that the task attempt has failed on the machine, and attributes the failure.
   void recordFailure(Machine& machine, const Attempt& attempt);
-  // Clears jobs that were found faulty and have succeeded since.
+  // Resets the failures of jobs that failed on every machine and have succeeded since.
   void clearRecoveredJobs();
-  // Quarantines and drains the machine if tasks fail on it that succeed elsewhere.
+  // Quarantines and drains the machine if tasks of a job fail on it that succeed on other machines.
   void evaluateQuarantine(Machine& machine);
 
  private:
-  // Failures of this job count against no machine any more.
+  // Stops counting failures of this job against machines.
   void clearMachineSuspicion(const std::string& ref);
   // Whether, on any machine but the excluded one, a task of the job has completed or has run for longer than
   // those that failed.
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -16,8 +16,8 @@
     attempt.stopRequested = true;
     return;
   }
-  const bool lessGrace = attempt.stopRequested && gracePeriodS < attempt.gracePeriodS;
-  if (attempt.stopRequested && !lessGrace) return;
+  const bool isShorterGracePeriod = attempt.stopRequested && gracePeriodS < attempt.gracePeriodS;
+  if (attempt.stopRequested && !isShorterGracePeriod) return;
   attempt.stopRequested = true;
   attempt.gracePeriodS = gracePeriodS;
   attempt.stopSent = false;
@@ -30,7 +30,7 @@
 }
 
 void WorkerCommands::advanceFencingToken(Machine& machine) {
-  // Once is enough until the worker has been seen with it.
+  // One new token is enough until the worker has acknowledged it.
   if (machine.workerToken < fencingTokenOf(machine)) return;
   issueFencingToken(machine);
 }
@@ -54,61 +54,62 @@
 
 // --- commands due ------------------------------------------------------------------------------------------
 
-std::vector<wire::Command> WorkerCommands::takeDueCommands(Machine& machine, HeartbeatSource via,
+std::vector<wire::Command> WorkerCommands::takeDueCommands(Machine& machine, HeartbeatSource source,
                                                            std::uint64_t sequence) {
-  std::vector<wire::Command> forgets;
-  std::vector<wire::Command> others;
+  std::vector<wire::Command> forgetCommands;
+  std::vector<wire::Command> otherCommands;
   for (Attempt& attempt : machine.attempts) {
-    const auto command = takeDueCommand(attempt, via, sequence);
+    const auto command = takeDueCommand(attempt, source, sequence);
     if (!command) continue;
-    std::vector<wire::Command>& list = command->verb == wire::CommandVerb::forget ? forgets : others;
+    std::vector<wire::Command>& list =
+        command->verb == wire::CommandVerb::forget ? forgetCommands : otherCommands;
     list.push_back(*command);
   }
-  forgets.insert(forgets.end(), others.begin(), others.end());
-  return forgets;
+  forgetCommands.insert(forgetCommands.end(), otherCommands.begin(), otherCommands.end());
+  return forgetCommands;
 }
 
-std::optional<wire::Command> WorkerCommands::takeDueCommand(Attempt& attempt, HeartbeatSource via,
+std::optional<wire::Command> WorkerCommands::takeDueCommand(Attempt& attempt, HeartbeatSource source,
                                                             std::uint64_t sequence) {
   switch (attempt.phase) {
     case AttemptPhase::planned:
     case AttemptPhase::released:
       return std::nullopt;
     case AttemptPhase::recorded:
-      return startOrStopRecorded(attempt, via, sequence);
+      return startOrStopRecorded(attempt, source, sequence);
     case AttemptPhase::pulling:
     case AttemptPhase::running:
     case AttemptPhase::checkpointing:
-      return stopOnMachine(attempt, via);
+      return stopOnMachine(attempt, source);
     case AttemptPhase::ended:
       return forgetEnded(attempt);
   }
   return std::nullopt;
 }
 
-std::optional<wire::Command> WorkerCommands::startOrStopRecorded(Attempt& attempt, HeartbeatSource via,
+std::optional<wire::Command> WorkerCommands::startOrStopRecorded(Attempt& attempt, HeartbeatSource source,
                                                                  std::uint64_t sequence) {
   if (attempt.stopRequested) return makeCommand(wire::CommandVerb::stop, attempt);
-  // Not started again: it may have ended and been forgotten under an earlier leader.
+  // An inherited attempt is not started again: it can have ended and been forgotten under an earlier leader.
   if (attempt.inherited) return std::nullopt;
-  // Without the leader lease another controller may have confirmed the job's cancellation meanwhile.
+  // Without the leader lease, another controller can have confirmed the job's cancellation in the meantime.
   if (attempt.directCommandsInFlight != 0 || !state_.holdsLeaderLease()) return std::nullopt;
   if (attempt.isGangMember && !callbacks_.canStartGangTask(attempt)) return std::nullopt;
-  if (via != HeartbeatSource::direct && attempt.startSentInSequence == 0)
+  if (source != HeartbeatSource::direct && attempt.startSentInSequence == 0)
     attempt.startSentInSequence = sequence;
   return makeCommand(wire::CommandVerb::start, attempt);
 }
 
-std::optional<wire::Command> WorkerCommands::stopOnMachine(Attempt& attempt, HeartbeatSource via) {
+std::optional<wire::Command> WorkerCommands::stopOnMachine(Attempt& attempt, HeartbeatSource source) {
   if (!attempt.stopRequested) return std::nullopt;
-  if (attempt.stopSent && via == HeartbeatSource::direct) return std::nullopt;
+  if (attempt.stopSent && source == HeartbeatSource::direct) return std::nullopt;
   if (attempt.phase == AttemptPhase::checkpointing && attempt.gracePeriodS > 0) return std::nullopt;
   attempt.stopSent = true;
   return makeCommand(wire::CommandVerb::stop, attempt, attempt.gracePeriodS);
 }
 
 std::optional<wire::Command> WorkerCommands::forgetEnded(const Attempt& attempt) {
-  // A start that may still arrive would start the attempt anew once the worker has forgotten it.
+  // A start command that can still arrive would start the attempt again after the worker has forgotten it.
   if (attempt.directCommandsInFlight > 0 || attempt.unresolvedStartToken) return std::nullopt;
   const bool completed = attempt.cause == wire::Cause::done && !attempt.isService;
   if (completed && !callbacks_.isCompletionDurable(attempt.task)) return std::nullopt;
@@ -117,11 +118,11 @@
 
 void WorkerCommands::scheduleForgetCommands() {
   for (auto& [host, machine] : state_.machines.all()) {
-    const bool forgettable =
+    const bool hasEndedAttempts =
         std::any_of(machine.attempts.begin(), machine.attempts.end(),
                     [](const Attempt& attempt) { return attempt.phase == AttemptPhase::ended; });
-    // Otherwise the answer to the next heartbeat carries it: nothing waits for a forget command.
-    if (forgettable && machine.attempts.size() > constants::kMaxEndedAttemptsListed)
+    // Otherwise the answer to the next heartbeat carries the forget commands, which are not urgent.
+    if (hasEndedAttempts && machine.attempts.size() > constants::kMaxEndedAttemptsListed)
       requestDirectCall(machine);
   }
 }
@@ -129,16 +130,17 @@
 // --- direct calls ------------------------------------------------------------------------------------------
 
 void WorkerCommands::sendDirectCommands() {
-  // Machines beyond the limit wait: those that don't answer occupy their calls until the time limit.
-  for (auto at = hostsAwaitingDirectCall_.begin(); at != hostsAwaitingDirectCall_.end() && canStartCall();) {
-    Machine* machine = state_.machines.find(*at);
+  // Machines beyond the limit wait, because calls to workers that don't answer stay in flight until their
+  // timeout.
+  for (auto it = hostsAwaitingDirectCall_.begin(); it != hostsAwaitingDirectCall_.end() && canStartCall();) {
+    Machine* machine = state_.machines.find(*it);
     const bool due = machine != nullptr && machine->directCommands.due;
     if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextAt)) {
-      ++at;
+      ++it;
       continue;
     }
     if (due) sendDirectCommands(*machine);
-    at = hostsAwaitingDirectCall_.erase(at);
+    it = hostsAwaitingDirectCall_.erase(it);
   }
 }
 
@@ -146,11 +148,12 @@
   machine.directCommands.due = false;
   if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.canRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
-  DirectCall direct{machine.host.text, fencingTokenOf(machine), machine.incarnation,
-                    takeDueCommands(machine, HeartbeatSource::direct, 0)};
-  if (direct.commands.empty() && (machine.contact.tokenAcknowledged || !machine.contact.takeoverProbeSent))
+  DirectCall directCall{machine.host.text, fencingTokenOf(machine), machine.incarnation,
+                        takeDueCommands(machine, HeartbeatSource::direct, 0)};
+  if (directCall.commands.empty() &&
+      (machine.contact.tokenAcknowledged || !machine.contact.takeoverProbeSent))
     return;
-  for (const wire::Command& command : direct.commands)
+  for (const wire::Command& command : directCall.commands)
     if (command.verb == wire::CommandVerb::start)
       ++machine.find(command.task, command.attempt)->directCommandsInFlight;
   machine.directCommands.inFlight = true;
@@ -160,14 +163,15 @@
   call.endpoint = machine.endpoint;
   call.method = "POST";
   call.path = "/commands";
-  call.body = wire::encodeCommands(direct.token, direct.commands);
-  call.body["shift"] = direct.incarnation;
+  call.body = wire::encodeCommands(directCall.token, directCall.commands);
+  call.body["shift"] = directCall.incarnation;
   call.timeout = constants::kWorkerCallTimeout;
-  context_.calls.start(std::move(call),
-                       guard_.wrap([this, direct = std::move(direct)](const wire::CallResult& result) {
-                         onCallEnded();
-                         onDirectAnswer(direct, result);
-                       }));
+  context_.calls.start(
+      std::move(call),
+      guard_.wrap([this, directCall = std::move(directCall)](const wire::CallResult& result) {
+        onCallEnded();
+        onDirectAnswer(directCall, result);
+      }));
 }
 
 void WorkerCommands::onDirectAnswer(const DirectCall& call, const wire::CallResult& result) {
@@ -182,19 +186,19 @@
 
 void WorkerCommands::recordStartOutcomes(Machine& machine, const DirectCall& call,
                                          const wire::CallResult& result) {
-  const bool mayTakeEffect = result.status == 0 && result.sent && machine.incarnation == call.incarnation;
+  const bool canTakeEffect = result.status == 0 && result.sent && machine.incarnation == call.incarnation;
   for (const wire::Command& command : call.commands) {
     if (command.verb != wire::CommandVerb::start) continue;
     Attempt* attempt = machine.find(command.task, command.attempt);
     if (attempt == nullptr) continue;
     --attempt->directCommandsInFlight;
-    // The worker may execute it minutes later, as long as token and incarnation match.
-    if (mayTakeEffect) attempt->unresolvedStartToken = call.token;
+    // The worker can execute the start minutes later, as long as token and incarnation match.
+    if (canTakeEffect) attempt->unresolvedStartToken = call.token;
   }
 }
 
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
-  // The commands are void once the worker has seen the higher token.
+  // A new token invalidates the commands as soon as the worker has seen it.
   if (result.sent && call.token == fencingTokenOf(machine)) issueFencingToken(machine);
   machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
   context_.event(Level::info, "command_unanswered",
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -1,5 +1,5 @@
 // Commands to workers: which tasks to start, stop and forget on each machine. They are sent in the answers to
-// heartbeats and by direct calls, under fencing tokens that make older commands void.
+// heartbeats and by direct calls, with fencing tokens that invalidate earlier commands.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 
 namespace reachhoist::service {
 
-// How the state of a worker reached this leader: by its heartbeat, by its heartbeat relayed by a sibling, or
-// by its answer to a direct call.
+// How the state of a worker reached this leader: in its heartbeat, in its heartbeat relayed by a sibling, or
+// in its answer to a direct call.
 enum class HeartbeatSource { heartbeat, relay, direct };
 
-// Decides which commands are due, hands them out for heartbeat answers, and sends the urgent ones directly.
+// Decides which commands are due, adds them to heartbeat answers, and sends the urgent ones in direct calls.
 class WorkerCommands {
  public:
-  // What the commands depend on elsewhere; all are required.
+  // Queries and notifications to other components; all are required.
   struct Callbacks {
-    // Whether all placements of the attempt's gang are durable.
+    // Whether the gang task can be started: all placements of its gang attempt are durable.
     std::function<bool(const Attempt&)> canStartGangTask;
     // Whether the completion of the task is durable.
     std::function<bool(const wire::TaskId&)> isCompletionDurable;
-    // A worker has answered a direct call with its state.
+    // Applies the state that a worker has reported in its answer to a direct call.
     std::function<void(Machine&, const wire::WorkerHeartbeat&)> onWorkerState;
   };
 
@@ -40,28 +40,31 @@
   std::uint64_t fencingTokenOf(const Machine& machine) const {
     return cluster::fencingToken(state_.term, machine.fencingSequence);
   }
-  // Stops the attempt, with `gracePeriodS` seconds for a checkpoint. A second time only with less grace.
+  // Requests a stop of the attempt, with a grace period for a checkpoint. A repeated request counts only if
+  // its grace period is shorter.
   void stop(Machine& machine, Attempt& attempt, double gracePeriodS);
-  // A direct call should carry what is due on the machine.
+  // Requests a direct call that carries the commands due on the machine.
   void requestDirectCall(Machine& machine);
-  // Makes all commands under the machine's present token void.
+  // Invalidates all commands sent with the machine's current token.
   void advanceFencingToken(Machine& machine);
-  // Records whether the worker has been seen with its newest token.
+  // Updates whether the worker has acknowledged the machine's newest token.
   void updateTokenAcknowledgement(Machine& machine);
-  // All commands due on the machine, recorded as sent. `sequence`: of the heartbeat they answer.
-  std::vector<wire::Command> takeDueCommands(Machine& machine, HeartbeatSource via, std::uint64_t sequence);
-  // Sends direct calls to the machines marked due, within the limit on calls to workers.
+  // Returns all commands due on the machine and records them as sent. `sequence` is the sequence number of
+  // the heartbeat that they answer.
+  std::vector<wire::Command> takeDueCommands(Machine& machine, HeartbeatSource source,
+                                             std::uint64_t sequence);
+  // Sends the requested direct calls, within the limit on calls to workers.
   void sendDirectCommands();
-  // Lets direct calls carry the forget commands of machines that list too many ended attempts.
+  // Requests direct calls for the forget commands of machines that list too many ended attempts.
   void scheduleForgetCommands();
 
-  // The limit on calls in flight to workers, which probes share.
+  // Direct calls and probes share one limit on calls in flight to workers.
   bool canStartCall() const { return callsInFlight_ < context_.settings.maxWorkerCalls(); }
   void onCallStarted() { ++callsInFlight_; }
   void onCallEnded() { --callsInFlight_; }
 
  private:
-  // A direct call in flight.
+  // The content of a direct call in flight.
   struct DirectCall {
     std::string host;
     std::uint64_t token = 0;
@@ -69,15 +72,18 @@
     std::vector<wire::Command> commands;
   };
 
-  // The command due for the attempt, recorded as sent.
-  std::optional<wire::Command> takeDueCommand(Attempt& attempt, HeartbeatSource via, std::uint64_t sequence);
-  std::optional<wire::Command> startOrStopRecorded(Attempt& attempt, HeartbeatSource via,
+  // Returns the command due for the attempt, if any, and records it as sent.
+  std::optional<wire::Command> takeDueCommand(Attempt& attempt, HeartbeatSource source,
+                                              std::uint64_t sequence);
+  std::optional<wire::Command> startOrStopRecorded(Attempt& attempt, HeartbeatSource source,
                                                    std::uint64_t sequence);
-  std::optional<wire::Command> stopOnMachine(Attempt& attempt, HeartbeatSource via);
+  std::optional<wire::Command> stopOnMachine(Attempt& attempt, HeartbeatSource source);
   std::optional<wire::Command> forgetEnded(const Attempt& attempt);
+  // Issues a new fencing token, which the worker has yet to acknowledge.
   void issueFencingToken(Machine& machine);
   void sendDirectCommands(Machine& machine);
   void onDirectAnswer(const DirectCall& call, const wire::CallResult& result);
+  // Notes which start commands of the call can still take effect although the call got no answer.
   void recordStartOutcomes(Machine& machine, const DirectCall& call, const wire::CallResult& result);
   void onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result);
 
@@ -85,7 +91,7 @@
   Context& context_;
   Callbacks callbacks_;
   std::size_t callsInFlight_ = 0;
-  std::set<std::string> hostsAwaitingDirectCall_;  // machines with commands that a direct call should carry
+  std::set<std::string> hostsAwaitingDirectCall_;  // machines with a requested direct call
   state::CallbackGuard guard_;
 };
 
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -6,7 +6,7 @@
 namespace reachhoist::service {
 
 namespace {
-// Probes of unheard workers may take this fraction of the calls to workers.
+// Takeover probes can use one in this many of the calls allowed to workers.
 constexpr unsigned kTakeoverProbeCallsDivisor = 4;
 }  // namespace
 
@@ -21,13 +21,13 @@
 void WorkerProber::sendTakeoverProbes() {
   if (context_.now - state_.recordsLoadedAt < constants::kProbeUnheardDelay || !state_.holdsLeaderLease())
     return;
-  unsigned left =
+  unsigned probesLeft =
       std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kTakeoverProbeCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
         machine.endpoint.empty())
       continue;
-    if (left-- == 0 || !commands_.canStartCall()) return;
+    if (probesLeft-- == 0 || !commands_.canStartCall()) return;
     machine.contact.takeoverProbeSent = true;
     probe(machine);
   }
@@ -35,12 +35,12 @@
 
 void WorkerProber::probeRelayed() {
   std::size_t probed = 0;
-  const auto overdue = state_.heartbeatTimeout(constants::kOverdueAfterHeartbeats, 0.5);
+  const auto overdueAfter = state_.heartbeatTimeout(constants::kOverdueAfterHeartbeats, 0.5);
   for (auto& [host, machine] : state_.machines.all()) {
     if (probed == constants::kDirectProbeSamples || !commands_.canStartCall()) return;
-    const bool relayed = context_.now - machine.contact.lastHeartbeatAt <= overdue &&
-                         context_.now - machine.contact.lastDirectContactAt > overdue;
-    if (machine.phase != MachinePhase::up || !relayed || machine.contact.probeInFlight ||
+    const bool isOnlyRelayed = context_.now - machine.contact.lastHeartbeatAt <= overdueAfter &&
+                               context_.now - machine.contact.lastDirectContactAt > overdueAfter;
+    if (machine.phase != MachinePhase::up || !isOnlyRelayed || machine.contact.probeInFlight ||
         machine.endpoint.empty())
       continue;
     machine.contact.probeInFlight = true;
@@ -73,7 +73,7 @@
   if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
   heartbeats_.apply(*machine, *heartbeat, HeartbeatSource::direct);
   machine->contact.unreachable = false;
-  // Even without commands the call brings the fencing token.
+  // A direct call delivers the fencing token even if it carries no commands.
   if (!machine->contact.tokenAcknowledged) commands_.requestDirectCall(*machine);
 }
 
--- a/src/service/leader/worker_prober.hpp
+++ b/src/service/leader/worker_prober.hpp
@@ -1,4 +1,4 @@
-// Direct requests for the state of workers that are not heard from.
+// Probes: direct requests for the state of workers whose heartbeats don't arrive.
 #pragma once
 
 #include <string>
@@ -11,21 +11,21 @@
 namespace reachhoist::service {
 
 // Probes workers within the limit on calls to workers. An answer proves that the worker is alive and
-// reachable but does not renew its lease.
+// reachable, but it does not renew the worker's lease.
 class WorkerProber {
  public:
   WorkerProber(LeaderState& state, WorkerCommands& commands, HeartbeatProcessor& heartbeats)
       : state_(state), context_(state.context), commands_(commands), heartbeats_(heartbeats) {}
   WorkerProber(const WorkerProber&) = delete;
 
-  // Probes the machine, unless a probe is in flight, the last one was not answered, or the limit is reached.
+  // Probes the machine unless a probe is in flight, the last probe was not answered, or the limit is reached.
   void probeOverdue(Machine& machine);
-  // Probes workers not heard from in this term. Those that an earlier leader still answers would stay with it
-  // for as long as it believes itself to lead; a worker that sees this leader's token drops the earlier
-  // leader's answers and looks for this one.
+  // Probes workers that have sent no heartbeat in this term. An earlier leader that has not yet noticed the
+  // end of its term can still answer their heartbeats and keep them. A worker that sees this leader's token
+  // ignores the earlier leader's answers and searches for this one.
   void sendTakeoverProbes();
-  // Probes a sample of the workers heard through siblings only: answers show that this controller is not
-  // behind a network partition.
+  // Probes a sample of the workers whose heartbeats arrive only through siblings. Answers show that this
+  // controller is not behind a network partition.
   void probeRelayed();
 
  private:
