--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -57,7 +57,7 @@
   cloud_.tick(context_.now);
   failureDetector_.tick();
   boots_.tick();
-  lifecycle_.advance();
+  lifecycle_.processEmptyMachines();
   advance();
   if (state_.resigned()) return;
   lifecycle_.writeDecommissioning();
@@ -70,7 +70,7 @@
 void Leader::startActing() {
   phase_ = Phase::acting;
   state_.recordsLoadedAt = context_.now;
-  autoscaler_.start();
+  autoscaler_.loadSizingState();
   const auto loadTime =
       std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - state_.electedAt);
   context_.event(Level::info, "leader_ready",
--- a/src/service/leader/autoscaler.hpp
+++ b/src/service/leader/autoscaler.hpp
@@ -32,7 +32,7 @@
   Autoscaler(const Autoscaler&) = delete;
 
   // Loads the sizing state that an earlier leader has saved.
-  void start() { sizingStore_.load(); }
+  void loadSizingState() { sizingStore_.load(); }
   // Runs the rounds that are due.
   void tick();
   // Saves the sizing state when it is due.
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -58,7 +58,7 @@
   }
 }
 
-void MachineLifecycle::advance() {
+void MachineLifecycle::processEmptyMachines() {
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase == MachinePhase::draining && machine.attempts.empty()) {
       machine.setPhase(MachinePhase::decommissioning, context_.now);
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -28,7 +28,8 @@
   // Fills in the machine's capacity, image cache size and pull rate from the catalogue, if it has been read.
   void applyMachineType(Machine& machine) const;
 
-  // Stops placing work on the machine; advance() decommissions it once it is empty. `why` is logged.
+  // Stops placing work on the machine; processEmptyMachines() decommissions it once it is empty. `why` is
+  // logged.
   void drain(Machine& machine, const char* why, DrainMode mode = DrainMode::stopAll);
   // Gives the machine up together with all attempts on it. `why` is logged.
   void decommission(Machine& machine, const char* why);
@@ -36,7 +37,7 @@
   void evictForSpotNotice(Machine& machine);
 
   // Decommissions empty draining machines, and drains empty spot instances that have a reclaim notice.
-  void advance();
+  void processEmptyMachines();
   // Continues the transaction in flight, for example with a retry.
   void tick() { committer_.tick(context_.now); }
   // Begins the transaction that records the machines to be released, if there are new ones. When it has been
