--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -110,7 +110,7 @@
                                 context_.now,
                                 context_.wallClockMs,
                                 state_.existingMachines(),
-                                scheduler_.unplaced(),
+                                scheduler_.unplacedDemand(),
                                 {},
                                 pendingByPool(),
                                 partitions_.zones(),
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -12,7 +12,7 @@
   decommissionTimedOut();
 }
 
-double BootMonitor::nominalBootS(const Machine& machine) const {
+double BootMonitor::nominalBootTimeS(const Machine& machine) const {
   if (!context_.catalog) return 0;
   for (const wire::MachineType& machineType : *context_.catalog)
     if (machineType.name == machine.machineType) return machineType.nominalBootTimeS;
@@ -30,7 +30,7 @@
     if (machine.phase != MachinePhase::booting) continue;
     const auto age = context_.now - machine.provisionedAt;
     const auto timeout =
-        history_.bootTimeout(machine.machineType, machine.zone, nominalBootS(machine), context_.now);
+        history_.bootTimeout(machine.machineType, machine.zone, nominalBootTimeS(machine), context_.now);
     if (age <= timeout) continue;
     if (age <= constants::kSlowCohortTimeoutFactor * timeout && !cohorts.lagsCohort(machine)) continue;
     history_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
--- a/src/service/leader/boot_monitor.hpp
+++ b/src/service/leader/boot_monitor.hpp
@@ -23,7 +23,7 @@
  private:
   void decommissionTimedOut();
   // The boot time of the machine's type according to the catalogue, or 0 if the type is not in it.
-  double nominalBootS(const Machine& machine) const;
+  double nominalBootTimeS(const Machine& machine) const;
 
   LeaderState& state_;
   Context& context_;
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -41,9 +41,9 @@
   state_.requestPlacementRound();
 }
 
-void InstanceInventory::onListed(const std::vector<wire::InstanceEntry>& hosts) {
+void InstanceInventory::onListed(const std::vector<wire::InstanceEntry>& instances) {
   std::erase_if(releaseRetentionUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
-  for (const wire::InstanceEntry& entry : hosts) {
+  for (const wire::InstanceEntry& entry : instances) {
     Machine* machine = state_.machines.find(entry.host.text);
     if (machine == nullptr) {
       if (wasRecentlyReleased(entry.host.text)) continue;
--- a/src/service/leader/instance_inventory.hpp
+++ b/src/service/leader/instance_inventory.hpp
@@ -24,7 +24,7 @@
   // Removes the hosts, whose release the cloud has confirmed: all attempts on them are proven gone.
   void onReleased(const std::vector<std::string>& hosts);
   // Reconciles the table with the cloud's instance list.
-  void onListed(const std::vector<wire::InstanceEntry>& hosts);
+  void onListed(const std::vector<wire::InstanceEntry>& instances);
   // Whether the host was released so recently that delayed heartbeats and earlier lists can still name it.
   bool wasRecentlyReleased(const std::string& host) const { return releaseRetentionUntil_.contains(host); }
 
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -60,13 +60,13 @@
   placement::SchedulingInput input = schedulingInput();
   shares_.prepare(input, mayPreemptForShares());
   if (input.waitingJobs.empty()) {
-    unplaced_.clear();
+    unplacedDemand_.clear();
     return {};
   }
   input.machines = state_.existingMachines();
   placement::PlacementPlan plan = placement::planPlacements(input);
   shares_.onPlanned(plan);
-  unplaced_ = std::move(plan.unplaced);
+  unplacedDemand_ = std::move(plan.unplaced);
   // The next round begins when the state has changed, or after a while because backoffs and missed heartbeats
   // change it without any event.
   const bool foundNothing = plan.assignments.empty() && plan.preemptions.empty();
@@ -99,12 +99,12 @@
   if (reservingGangs_.empty()) return;
   state_.batches.recountBytes(state_.machines);
   for (auto it = reservingGangs_.begin(); it != reservingGangs_.end();) {
-    bool complete = true;
+    bool allReserved = true;
     state_.forEachAttempt(*it, [&](Machine& machine, Attempt& attempt) {
       if (attempt.phase != AttemptPhase::planned || attempt.batch) return;
-      if (!tryReserveGangTask(machine, attempt, round)) complete = false;
+      if (!tryReserveGangTask(machine, attempt, round)) allReserved = false;
     });
-    it = complete ? reservingGangs_.erase(it) : std::next(it);
+    it = allReserved ? reservingGangs_.erase(it) : std::next(it);
   }
 }
 
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -32,7 +32,7 @@
   // Writes the share status when it is due, and requests a round when the share table has changed.
   void updateShares();
   // The demand for which the latest round found no capacity.
-  const std::vector<placement::UnplacedDemand>& unplaced() const { return unplaced_; }
+  const std::vector<placement::UnplacedDemand>& unplacedDemand() const { return unplacedDemand_; }
 
  private:
   // The content of one transaction: the batches to write, and the jobs and hosts of the attempts placed in
@@ -76,7 +76,7 @@
   state::Committer committer_;
   RoundShares shares_;
   std::uint64_t attemptCount_ = 0;
-  std::vector<placement::UnplacedDemand> unplaced_;
+  std::vector<placement::UnplacedDemand> unplacedDemand_;
   std::set<std::string> reservingGangs_;  // gangs with tasks that no transaction places yet
   Time nextPlanAt_{};
   Time replanAt_{};
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -36,7 +36,7 @@
     for (const Attempt& attempt : machine.attempts)
       if (isPlacedHighPriority(attempt)) capacity -= attempt.resources.vcpus;
   }
-  for (const placement::UnplacedDemand& demand : scheduler_.unplaced())
+  for (const placement::UnplacedDemand& demand : scheduler_.unplacedDemand())
     if (demand.job->spec.priority >= wire::Priority::high)
       capacity -= demand.job->spec.taskResources.vcpus * demand.tasks;
   return capacity;
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -7,9 +7,9 @@
   context_.event(Level::info, "task_failed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   jobs::Job* job = state_.jobs.find(ref);
   if (job == nullptr || !job->isOpen()) return;
-  const bool ran = attempt.runningSince != Time{};
+  const bool hasRun = attempt.runningSince != Time{};
   job->failures.recordFailure(machine.host.text,
-                              ran ? context_.now - attempt.runningSince : wire::Duration{});
+                              hasRun ? context_.now - attempt.runningSince : wire::Duration{});
   if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // The job failed on every machine it was tried on. A few of its tasks are retried, at growing intervals,
     // until the user cancels the job.
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -163,7 +163,7 @@
   call.endpoint = machine.endpoint;
   call.method = "POST";
   call.path = "/commands";
-  call.body = wire::encodeCommands(directCall.token, directCall.commands);
+  call.body = wire::encodeCommands(directCall.fencingToken, directCall.commands);
   call.body["shift"] = directCall.incarnation;
   call.timeout = constants::kWorkerCallTimeout;
   context_.calls.start(
@@ -193,13 +193,13 @@
     if (attempt == nullptr) continue;
     --attempt->directCommandsInFlight;
     // The worker can execute the start minutes later, as long as token and incarnation match.
-    if (canTakeEffect) attempt->unresolvedStartToken = call.token;
+    if (canTakeEffect) attempt->unresolvedStartToken = call.fencingToken;
   }
 }
 
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
   // A new token invalidates the commands as soon as the worker has seen it.
-  if (result.sent && call.token == fencingTokenOf(machine)) issueFencingToken(machine);
+  if (result.sent && call.fencingToken == fencingTokenOf(machine)) issueFencingToken(machine);
   machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
   context_.event(Level::info, "command_unanswered",
                  {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -67,7 +67,7 @@
   // The content of a direct call in flight.
   struct DirectCall {
     std::string host;
-    std::uint64_t token = 0;
+    std::uint64_t fencingToken = 0;
     std::uint64_t incarnation = 0;
     std::vector<wire::Command> commands;
   };
