--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -7,30 +7,30 @@
 }
 
 void BootMonitor::tick() {
-  if (context_.now < nextCheck_) return;
-  nextCheck_ = context_.now + constants::kScaleOutInterval;
-  detectTimeouts();
+  if (context_.now < nextCheckAt_) return;
+  nextCheckAt_ = context_.now + constants::kScaleOutInterval;
+  decommissionTimedOut();
 }
 
-double BootMonitor::nominalBootS(const Machine& machine) const {
+double BootMonitor::nominalBootTimeS(const Machine& machine) const {
   if (!context_.catalog) return 0;
   for (const wire::MachineType& machineType : *context_.catalog)
     if (machineType.name == machine.machineType) return machineType.nominalBootTimeS;
   return 0;
 }
 
-// A machine that never comes up costs money until it is released; but where all boots are slow, giving up
-// would throw away machines that are about to come up.
-void BootMonitor::detectTimeouts() {
-  // Heartbeats that were sent while nobody listened arrive first.
-  const auto settle = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
-  if (context_.now - state_.listeningSince() < settle) return;
+// A machine that never comes up costs money until it is released. Where all boots are slow, though, a short
+// timeout would discard machines that are about to come up.
+void BootMonitor::decommissionTimedOut() {
+  // Machines that came up while this leader received no heartbeats get time to send one.
+  const auto heartbeatGracePeriod = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  if (context_.now - state_.receivingHeartbeatsSince() < heartbeatGracePeriod) return;
   const fleet::BootCohorts cohorts(state_.existingMachines());
   for (auto& [host, machine] : state_.machines.all()) {
     if (machine.phase != MachinePhase::booting) continue;
     const auto age = context_.now - machine.provisionedAt;
     const auto timeout =
-        history_.bootTimeout(machine.machineType, machine.zone, nominalBootS(machine), context_.now);
+        history_.bootTimeout(machine.machineType, machine.zone, nominalBootTimeS(machine), context_.now);
     if (age <= timeout) continue;
     if (age <= constants::kSlowCohortTimeoutFactor * timeout && !cohorts.lagsCohort(machine)) continue;
     history_.recordBootTimeout(machine.machineType, machine.zone, context_.now);
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -7,16 +7,16 @@
 
 namespace reachhoist::service {
 
-bool ServiceFailover::isPlacedService(const Attempt& attempt) {
+bool ServiceFailover::isPlacedHighPriority(const Attempt& attempt) {
   return attempt.holdsCapacity() && attempt.phase != AttemptPhase::planned && !attempt.stopRequested &&
          attempt.priority >= wire::Priority::high;
 }
 
-double ServiceFailover::serviceCpus(const Machine& machine) {
-  double cpus = 0;
+double ServiceFailover::placedHighPriorityVcpus(const Machine& machine) {
+  double vcpus = 0;
   for (const Attempt& attempt : machine.attempts)
-    if (isPlacedService(attempt)) cpus += attempt.resources.vcpus;
-  return cpus;
+    if (isPlacedHighPriority(attempt)) vcpus += attempt.resources.vcpus;
+  return vcpus;
 }
 
 bool ServiceFailover::isPartitioned(const Machine& machine) const {
@@ -24,37 +24,38 @@
          partitions_.contains(machine.zone);
 }
 
-double ServiceFailover::capacityForServices() const {
+double ServiceFailover::vcpusForServices() const {
   double capacity = 0;
   for (const auto& [host, machine] : state_.machines.all()) {
     const bool reachable = machine.phase == MachinePhase::up && machine.contact.tokenAcknowledged &&
                            !machine.contact.unreachable && !machine.spotNoticeAt && !machine.spot;
     if (reachable) capacity += std::max(0.0, machine.freeCapacity().vcpus);
-    // Services of machines that are being given up will move to the same capacity.
+    // Services on machines that are being given up will need the same capacity.
     if (machine.phase != MachinePhase::decommissioning && machine.phase != MachinePhase::terminating)
       continue;
     for (const Attempt& attempt : machine.attempts)
-      if (isPlacedService(attempt)) capacity -= attempt.resources.vcpus;
+      if (isPlacedHighPriority(attempt)) capacity -= attempt.resources.vcpus;
   }
-  for (const placement::UnplacedDemand& unmet : scheduler_.unplaced())
-    if (unmet.job->spec.priority >= wire::Priority::high)
-      capacity -= unmet.job->spec.taskResources.vcpus * unmet.tasks;
+  for (const placement::UnplacedDemand& demand : scheduler_.unplacedDemand())
+    if (demand.job->spec.priority >= wire::Priority::high)
+      capacity -= demand.job->spec.taskResources.vcpus * demand.tasks;
   return capacity;
 }
 
 void ServiceFailover::moveServices() {
   if (partitions_.zones().empty() || partitions_.selfPartitioned()) return;
-  double capacity = capacityForServices();
-  const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
-  // A machine not heard from in this term may have been partitioned from the earlier leader for long.
-  const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  double capacity = vcpusForServices();
+  const auto moveDelay = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
+  // A machine without a heartbeat in this term can have been partitioned from the earlier leader for a long
+  // time.
+  const auto moveDelayWithoutHeartbeat = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
-    const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
-    if (context_.now - machine.contact.lastHeartbeatAt < patience) continue;
-    const double cpus = serviceCpus(machine);
-    if (cpus == 0 || cpus > capacity) continue;
-    capacity -= cpus;
+    const auto delay = machine.sequence == 0 ? moveDelayWithoutHeartbeat : moveDelay;
+    if (context_.now - machine.contact.lastHeartbeatAt < delay) continue;
+    const double vcpus = placedHighPriorityVcpus(machine);
+    if (vcpus == 0 || vcpus > capacity) continue;
+    capacity -= vcpus;
     lifecycle_.decommission(machine, "network partition");
   }
 }
@@ -65,13 +66,13 @@
   for (const auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
     for (const Attempt& attempt : machine.attempts)
-      if (isPlacedService(attempt)) ++tasksByJob[attempt.task.job.text];
+      if (isPlacedHighPriority(attempt)) ++tasksByJob[attempt.task.job.text];
   }
-  std::vector<placement::UnplacedDemand> out;
+  std::vector<placement::UnplacedDemand> atRisk;
   for (const auto& [ref, tasks] : tasksByJob)
     if (const jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
-      out.push_back(placement::UnplacedDemand{job, tasks});
-  return out;
+      atRisk.push_back(placement::UnplacedDemand{job, tasks});
+  return atRisk;
 }
 
 }  // namespace reachhoist::service
