--- a/tests/scenario/steps.hpp
+++ b/tests/scenario/steps.hpp
@@ -17,7 +17,7 @@
 
 // jobs.cpp: the job of an "at T submit" line.
 standin::JobPlan parseJob(const Line& line);
-// jobs.cpp: schedules the similar jobs of an "at T crowd" line.
+// jobs.cpp: schedules the similar jobs of an "at T submit-many" line.
 void scheduleCrowd(standin::World& world, const Line& line);
 
 // share_actions.cpp: an operator's change of shares.
