--- a/tests/scenario/scenario.hpp
+++ b/tests/scenario/scenario.hpp
@@ -1,5 +1,5 @@
-// One scenario: its text sets up a world, schedules what happens in it and says what must be the case
-// (tests/scenarios/README.md).
+// One scenario file (tests/scenarios/README.md): the settings of a simulated deployment, steps that are
+// scheduled in it, and expectations.
 #pragma once
 
 #include <filesystem>
@@ -12,7 +12,7 @@
 class Scenario {
  public:
   explicit Scenario(const std::filesystem::path& path);
-  // Plays it; broken rules and expectations are failures of the current test.
+  // Runs the scenario. Violated rules and unmet expectations fail the current test.
   void run() const;
 
  private:
