--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -54,7 +54,7 @@
   void stepDown(const char* why);
 
   // Whether this controller leads and has acquired every partition.
-  bool leading() const { return state_ == State::leading; }
+  bool isLeading() const { return state_ == State::leading; }
   // The highest term known of; this controller's own while it leads.
   std::uint64_t term() const { return term_; }
   // Label of the leader as the store last told it; empty if there is none.
--- a/src/service/context.cpp
+++ b/src/service/context.cpp
@@ -8,7 +8,7 @@
     : settings(controllerSettings), state(calls, settings), level(logLevel), logSink(std::move(sink)) {}
 
 void Context::event(Level of, std::string_view name, std::initializer_list<LogField> fields) const {
-  if (!logs(of)) return;
+  if (!isLogged(of)) return;
   std::string line = "event=" + std::string(name);
   for (const LogField& field : fields) line.append(" ").append(field.key).append("=").append(field.value);
   logSink(of, line);
@@ -22,12 +22,12 @@
   reply(request, status, Json{{"error", error}});
 }
 
-void Context::later(std::uint64_t request) {
+void Context::replyTryAgain(std::uint64_t request) {
   reply(request, http::kServiceUnavailable, Json{{"error", "try again"}}, constants::kRetryAfterS);
 }
 
 void Context::sendTo(const std::string& sibling, peer::Payload payload) {
-  peerOut.push_back(PeerSend{sibling, peer::Message{settings.label, std::move(payload)}});
+  peerMessages.push_back(OutgoingPeerMessage{sibling, peer::Message{settings.label, std::move(payload)}});
 }
 
 void Context::broadcast(const peer::Payload& payload) {
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -33,7 +33,7 @@
 };
 
 // A message to one sibling.
-struct PeerSend {
+struct OutgoingPeerMessage {
   std::string to;  // label of the sibling
   peer::Message message;
 };
@@ -66,17 +66,17 @@
   // When this process last resumed after it had been suspended while the clocks ran on. What was heard before
   // says nothing about the present.
   Time resumedAt{};
-  Time siblingHeardAt{};      // latest heartbeat of any sibling
-  Time siblingConfirmedAt{};  // latest heartbeat of a sibling that reaches the key-value store
+  Time lastSiblingHeartbeatAt{};           // latest heartbeat of any sibling
+  Time lastConfirmedSiblingHeartbeatAt{};  // latest heartbeat of a sibling that reaches the key-value store
   std::optional<std::vector<wire::MachineType>> catalog;  // machine types; none until they are known
   std::optional<shares::Table> shares;                    // fair-share table in force; none: shares are off
   std::vector<Reply> replies;                             // responses to be sent
-  std::vector<PeerSend> peerOut;                          // messages to be sent to siblings
+  std::vector<OutgoingPeerMessage> peerMessages;          // messages to be sent to siblings
   Level level;
   LogSink logSink;
 
   // Whether lines of this level are logged; guards the building of costly fields.
-  bool logs(Level of) const { return of <= level; }
+  bool isLogged(Level of) const { return of <= level; }
   // Logs one line: event=NAME key=value ...
   void event(Level of, std::string_view name, std::initializer_list<LogField> fields = {}) const;
   // Queues a response to a request.
@@ -84,7 +84,7 @@
   // Queues a response whose body says what is wrong.
   void replyError(std::uint64_t request, int status, const std::string& error);
   // Answers 503 with Retry-After: the request may succeed when it is repeated.
-  void later(std::uint64_t request);
+  void replyTryAgain(std::uint64_t request);
   // Queues a message to one sibling.
   void sendTo(const std::string& sibling, peer::Payload payload);
   // Queues a message to each sibling.
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -42,7 +42,7 @@
       catalogLoader_(context_),
       jobApi_(context_, jobFeed_, jobs_, leadership_,
               [this](auto change, const std::string& ref) { onJobChange(change, ref); }) {
-  if (settings.operators.shares.enabled) shares_ = std::make_unique<SharesFollower>(context_);
+  if (settings.operators.shares.enabled) shares_ = std::make_unique<ShareTableFollower>(context_);
 }
 
 // --- callbacks of the components ---------------------------------------------------------------------------
@@ -92,14 +92,14 @@
   context_.now = now;
   context_.wallClockMs = wallClockMs;
   const Time before = std::exchange(lastEventAt_, now);
-  if (before != Time{} && now - before > constants::kStallThreshold) resumed(now - before);
+  if (before != Time{} && now - before > constants::kStallThreshold) onResumed(now - before);
 }
 
-void Controller::resumed(wire::Duration suspendedFor) {
+void Controller::onResumed(wire::Duration suspendedFor) {
   context_.resumedAt = context_.now;
   context_.event(Level::info, "resumed", {{"away_s", wire::toSeconds(suspendedFor)}});
-  siblings_.resumed(suspendedFor);
-  if (leader_) leader_->resumed(suspendedFor);
+  siblings_.onResumed(suspendedFor);
+  if (leader_) leader_->onResumed(suspendedFor);
 }
 
 void Controller::start(Time now, std::int64_t wallClockMs) {
@@ -122,7 +122,7 @@
   }
   jobFeed_.tick(now);
   jobApi_.tick();
-  if (shares_) shares_->tick(leadership_.leading());
+  if (shares_) shares_->tick(leadership_.isLeading());
   if (leader_) leader_->tick();
   catalogLoader_.tick();
   if (now >= nextHeartbeat_) sendHeartbeat();
@@ -134,7 +134,7 @@
   Actions actions;
   actions.calls = context_.calls.drain();
   actions.replies = std::exchange(context_.replies, {});
-  actions.peers = std::exchange(context_.peerOut, {});
+  actions.peerMessages = std::exchange(context_.peerMessages, {});
   return actions;
 }
 
@@ -186,8 +186,8 @@
 
 void Controller::answerHealthCheck(std::uint64_t request) {
   const bool healthy =
-      jobFeed_.ready() && context_.catalog.has_value() && !siblings_.isIsolated(jobFeed_.confirmedAt());
-  if (!healthy) return context_.later(request);
+      jobFeed_.isReady() && context_.catalog.has_value() && !siblings_.isIsolated(jobFeed_.confirmedAt());
+  if (!healthy) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, Json{{"ok", true}});
 }
 
@@ -197,29 +197,29 @@
     context_.event(Level::info, "bad_heartbeat", {{"why", heartbeat.reason()}});
     return context_.replyError(request, http::kBadRequest, heartbeat.reason());
   }
-  if (!leadership_.leading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
+  if (!leadership_.isLeading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
   Leader* leader = activeLeader();
-  if (leader == nullptr) return context_.later(request);
+  if (leader == nullptr) return context_.replyTryAgain(request);
   auto response = leader->onHeartbeat(*heartbeat, HeartbeatSource::heartbeat);
-  if (response.status != http::kOk) return context_.later(request);
+  if (response.status != http::kOk) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, std::move(response.body));
 }
 
 // --- messages between controllers --------------------------------------------------------------------------
 
-void Controller::onPeer(Time now, std::int64_t wallClockMs, const peer::Message& message) {
+void Controller::onPeerMessage(Time now, std::int64_t wallClockMs, const peer::Message& message) {
   beginEvent(now, wallClockMs);
   if (settings_.sibling(message.from) == nullptr) return;
-  std::visit([&](const auto& payload) { onPeerMessage(message.from, payload); }, message.payload);
+  std::visit([&](const auto& payload) { handlePeerPayload(message.from, payload); }, message.payload);
 }
 
-void Controller::onPeerMessage(const std::string& from, const peer::RelayRequest& request) {
+void Controller::handlePeerPayload(const std::string& from, const peer::RelayRequest& request) {
   peer::RelayResponse response{request.number, http::kServiceUnavailable, {}};
   const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
   Leader* leader = activeLeader();
   if (heartbeat && leader != nullptr) {
     const auto given = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
-    if (context_.logs(Level::debug))
+    if (context_.isLogged(Level::debug))
       context_.event(Level::debug, "relayed",
                      {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
     response.status = given.status;
@@ -228,28 +228,28 @@
   context_.sendTo(from, std::move(response));
 }
 
-void Controller::onPeerMessage(const std::string& /*from*/, const peer::RelayResponse& response) {
+void Controller::handlePeerPayload(const std::string& /*from*/, const peer::RelayResponse& response) {
   heartbeatRelay_.onResponse(response);
 }
 
-void Controller::onPeerMessage(const std::string& /*from*/, const peer::Progress& progress) {
+void Controller::handlePeerPayload(const std::string& /*from*/, const peer::Progress& progress) {
   // The leader counts the tasks itself.
   if (leader_) return;
   progressReceiver_.apply(progress);
 }
 
-void Controller::onPeerMessage(const std::string& from, const peer::Heartbeat& heartbeat) {
+void Controller::handlePeerPayload(const std::string& from, const peer::Heartbeat& heartbeat) {
   const bool newLeader = siblings_.onHeartbeat(from, heartbeat);
   // This controller may be the last to learn of its successor. As long as it answered workers 200, they would
   // not look for the new leader.
-  if (newLeader && leadership_.leading() && heartbeat.term > leadership_.term())
+  if (newLeader && leadership_.isLeading() && heartbeat.term > leadership_.term())
     leadership_.resign("a sibling leads under a later term");
 }
 
 void Controller::sendHeartbeat() {
   nextHeartbeat_ = context_.now + constants::kPeerHeartbeatInterval;
   const bool storeConfirmed = context_.now - jobFeed_.confirmedAt() < constants::kPeerHeartbeatTimeout;
-  context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.leading(), storeConfirmed});
+  context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.isLeading(), storeConfirmed});
   if (leader_) progressPublisher_.publish(*leader_);
 }
 
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -14,7 +14,7 @@
 #include "service/job_api.hpp"
 #include "service/job_progress.hpp"
 #include "service/leader.hpp"
-#include "service/shares.hpp"
+#include "service/share_table_follower.hpp"
 #include "service/sibling_monitor.hpp"
 
 namespace reachhoist::service {
@@ -31,7 +31,7 @@
 struct Actions {
   std::vector<wire::Call> calls;
   std::vector<Reply> replies;
-  std::vector<PeerSend> peers;
+  std::vector<OutgoingPeerMessage> peerMessages;
 };
 
 // Composes the components that every controller has, and the Leader while it leads. Each event takes the
@@ -50,14 +50,14 @@
   // A call from drain() has ended.
   void onResult(Time now, std::int64_t wallClockMs, std::uint64_t call, const wire::CallResult& result);
   // A sibling's message has come.
-  void onPeer(Time now, std::int64_t wallClockMs, const peer::Message& message);
+  void onPeerMessage(Time now, std::int64_t wallClockMs, const peer::Message& message);
   // To be called every constants::kTickInterval.
   void tick(Time now, std::int64_t wallClockMs);
   // Takes what is to be done; to be called after each event.
   Actions drain();
 
   // Whether this controller leads.
-  bool leading() const { return leadership_.leading(); }
+  bool isLeading() const { return leadership_.isLeading(); }
 
  private:
   // An election or a loss of leadership that has not taken effect yet.
@@ -74,7 +74,7 @@
 
   // --- Time
   void beginEvent(Time now, std::int64_t wallClockMs);
-  void resumed(wire::Duration suspendedFor);
+  void onResumed(wire::Duration suspendedFor);
 
   // --- Leadership
   void applyLeadershipChange();
@@ -86,10 +86,10 @@
   void onWorkerHeartbeat(std::uint64_t request, const std::string& body);
 
   // --- Messages between controllers
-  void onPeerMessage(const std::string& from, const peer::RelayRequest& request);
-  void onPeerMessage(const std::string& from, const peer::RelayResponse& response);
-  void onPeerMessage(const std::string& from, const peer::Progress& progress);
-  void onPeerMessage(const std::string& from, const peer::Heartbeat& heartbeat);
+  void handlePeerPayload(const std::string& from, const peer::RelayRequest& request);
+  void handlePeerPayload(const std::string& from, const peer::RelayResponse& response);
+  void handlePeerPayload(const std::string& from, const peer::Progress& progress);
+  void handlePeerPayload(const std::string& from, const peer::Heartbeat& heartbeat);
   void sendHeartbeat();
 
   const config::Settings& settings_;
@@ -103,8 +103,8 @@
   ProgressReceiver progressReceiver_;
   CatalogLoader catalogLoader_;
   JobApi jobApi_;
-  std::unique_ptr<SharesFollower> shares_;  // null: fair shares are not configured
-  std::unique_ptr<Leader> leader_;          // null: this controller does not lead
+  std::unique_ptr<ShareTableFollower> shares_;  // null: fair shares are not configured
+  std::unique_ptr<Leader> leader_;              // null: this controller does not lead
   std::optional<LeadershipChange> pendingLeadershipChange_;
   Time lastEventAt_{};
   Time nextConfirm_{};
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -11,7 +11,7 @@
   const std::string leader = siblings_.leader();
   const config::Settings& settings = context_.settings;
   if (leader.empty() || leader == settings.label || settings.sibling(leader) == nullptr)
-    return context_.later(request);
+    return context_.replyTryAgain(request);
   WorkerRoute& route = routeOf(heartbeat.host.text, leader);
   if (cannotReachLeader(route, heartbeat) && !mustRetryDirectPath(route)) return relay(request, route, body);
   redirect(request, route);
@@ -40,7 +40,7 @@
 void HeartbeatRelay::relay(std::uint64_t request, WorkerRoute& route, const std::string& body) {
   // Without a link to the leader this controller can't relay either, but the next one may. Redirected to the
   // leader, the worker would come back here again and again.
-  if (!siblings_.reachable(route.leader)) return context_.later(request);
+  if (!siblings_.reachable(route.leader)) return context_.replyTryAgain(request);
   if (route.relayedSince == Time{}) route.relayedSince = context_.now;
   const std::uint64_t number = nextNumber_++;
   pending_[number] = PendingRelay{request, context_.now + constants::kRelayTimeout};
@@ -59,7 +59,7 @@
   const std::uint64_t request = found->second.request;
   pending_.erase(found);
   const auto body = wire::decodeBody(response.body);
-  if (response.status != http::kOk || !body) return context_.later(request);
+  if (response.status != http::kOk || !body) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, *body);
 }
 
@@ -76,7 +76,7 @@
       ++pending;
       continue;
     }
-    context_.later(pending->second.request);
+    context_.replyTryAgain(pending->second.request);
     pending = pending_.erase(pending);
   }
 }
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -25,7 +25,7 @@
   if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->isOpen())
     return context_.reply(request, http::kOk, jobStatus(*job));
   feed_.confirm(context_.now, [this, request, ref](bool confirmed) {
-    if (!confirmed) return context_.later(request);
+    if (!confirmed) return context_.replyTryAgain(request);
     const jobs::Job* job = jobs_.find(ref);
     if (job == nullptr) return replyNoSuchJob(context_, request);
     context_.reply(request, http::kOk, jobStatus(*job));
@@ -47,7 +47,7 @@
   if (!wire::validJobRef(ref)) return context_.replyError(request, http::kBadRequest, spec.reason());
   // An accepted job stays accepted, even if this body would be rejected now.
   if (jobs_.find(ref) != nullptr) return replyExisting(request, ref);
-  if (!feed_.ready() || feed_.failing() || !context_.catalog) return context_.later(request);
+  if (!feed_.isReady() || feed_.isFailing() || !context_.catalog) return context_.replyTryAgain(request);
   if (!spec) return reject(request, ref, Rejection{http::kBadRequest, spec.reason()});
   if (const auto rejection = admit(*spec, *context_.catalog, context_.settings))
     return reject(request, ref, *rejection);
@@ -56,7 +56,7 @@
 
 void JobApi::reject(std::uint64_t request, const std::string& ref, const Rejection& rejection) {
   feed_.confirm(context_.now, [this, request, ref, rejection](bool confirmed) {
-    if (!confirmed) return context_.later(request);
+    if (!confirmed) return context_.replyTryAgain(request);
     if (jobs_.find(ref) != nullptr) return replyExisting(request, ref);
     context_.replyError(request, rejection.status, rejection.reason);
   });
@@ -72,7 +72,7 @@
 void JobApi::tryAbort(const Abort& abort) {
   const jobs::Job* job = jobs_.find(abort.ref);
   if (job != nullptr && !job->isOpen()) return context_.reply(abort.request, http::kOk, jobSummary(*job));
-  if (abort.attemptsLeft == 0) return context_.later(abort.request);
+  if (abort.attemptsLeft == 0) return context_.replyTryAgain(abort.request);
   if (job == nullptr) return retryAbort(abort);
   state::Transaction transaction;
   transaction.conditions.push_back({jobs::jobKey(abort.ref), job->revision});
@@ -85,7 +85,7 @@
 
 void JobApi::retryAbort(const Abort& abort) {
   feed_.confirm(context_.now, [this, abort](bool confirmed) {
-    if (!confirmed) return context_.later(abort.request);
+    if (!confirmed) return context_.replyTryAgain(abort.request);
     if (jobs_.find(abort.ref) == nullptr) return replyNoSuchJob(context_, abort.request);
     tryAbort(Abort{abort.request, abort.ref, abort.attemptsLeft - 1});
   });
@@ -93,7 +93,7 @@
 
 void JobApi::onAbortWritten(const Abort& abort, const Json& record, const wire::CallResult& result) {
   if (result.status == http::kConflict) return retryAbort(abort);
-  if (!result.ok()) return context_.later(abort.request);
+  if (!result.ok()) return context_.replyTryAgain(abort.request);
   const auto change = jobs_.apply(abort.ref, record, state::appliedRevision(result));
   context_.reply(abort.request, http::kOk, jobSummary(*jobs_.find(abort.ref)));
   onJobChange_(change, abort.ref);
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -28,7 +28,7 @@
     return context.reply(request, http::kOk, jobSummary(*job));
   feed.confirm(context.now, [&context, &jobs, request, ref](bool confirmed) {
     const jobs::Job* job = jobs.find(ref);
-    if (!confirmed || job == nullptr) return context.later(request);
+    if (!confirmed || job == nullptr) return context.replyTryAgain(request);
     context.reply(request, http::kOk, jobSummary(*job));
   });
 }
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -38,7 +38,7 @@
       autoscaler_(state_, lifecycle_, inventory_, boots_, scheduler_, failover_, partitions_, cloud_),
       loader_(state_, records_, gangs_, lifecycle_, cloud_) {}
 
-void Leader::resumed(wire::Duration away) {
+void Leader::onResumed(wire::Duration away) {
   // Nothing was heard because nobody listened. Leases that were renewed before have run on, though.
   for (auto& [host, machine] : state_.machines.all()) {
     machine.contact.lastHeartbeatAt += away;
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -48,7 +48,7 @@
   // A heartbeat of a worker, sent to this controller or relayed by a sibling. 503 unless it may be answered.
   HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
   // This process goes on after it has stood still for this long.
-  void resumed(wire::Duration away);
+  void onResumed(wire::Duration away);
 
   // Progress of open jobs for the siblings' answers to users: of all jobs, or of those whose counts have
   // changed since the last call.
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -41,7 +41,7 @@
 }
 
 void AttemptTracker::applyRunning(Machine& machine, Attempt& attempt) {
-  if (attempt.phase != AttemptPhase::running && context_.logs(Level::debug))
+  if (attempt.phase != AttemptPhase::running && context_.isLogged(Level::debug))
     context_.event(Level::debug, "running",
                    {{"task", attempt.task.str()},
                     {"machine", machine.host.text},
@@ -68,7 +68,7 @@
     return;
   }
   if (cause == wire::Cause::error || cause == wire::Cause::unknown) failures_.recordFailure(machine, attempt);
-  if (context_.logs(Level::debug))
+  if (context_.isLogged(Level::debug))
     context_.event(
         Level::debug, "ended",
         {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"cause", static_cast<int>(cause)}});
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -59,7 +59,7 @@
 
 // They have a writer of their own: users wait for them, while progress only saves work after a failover.
 void CompletionRecords::writeFinalPhases() {
-  if (finalPhaseWriter_.busy() || finishedJobs_.empty()) return;
+  if (finalPhaseWriter_.isBusy() || finishedJobs_.empty()) return;
   state::Transaction transaction;
   std::vector<std::string> refs;
   for (const std::string& ref : finishedJobs_) {
@@ -102,7 +102,7 @@
 void CompletionRecords::writeProgress() {
   // Paced, so that less urgent writes get their turn: little is lost without it, since a completed task that
   // is started again ends at once.
-  if (progressWriter_.busy() || dirtyJobs_.empty() || context_.now < nextProgressAt_) return;
+  if (progressWriter_.isBusy() || dirtyJobs_.empty() || context_.now < nextProgressAt_) return;
   nextProgressAt_ = context_.now + constants::kProgressWriteInterval;
   const std::vector<ChunkId> chunks = takeDirtyChunks();
   if (chunks.empty()) return;
@@ -164,7 +164,7 @@
 // --- deletion ----------------------------------------------------------------------------------------------
 
 void CompletionRecords::clean() {
-  if (cleaner_.busy() || obsoleteKeys_.empty()) return;
+  if (cleaner_.isBusy() || obsoleteKeys_.empty()) return;
   state::Transaction transaction;
   std::vector<std::string> keys;
   for (const std::string& key : obsoleteKeys_) {
--- a/src/service/leader/completion_records.hpp
+++ b/src/service/leader/completion_records.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "service/leader/leader_state.hpp"
-#include "state/transaction.hpp"
+#include "state/committer.hpp"
 
 namespace reachhoist::service {
 
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -17,7 +17,7 @@
   const auto listeningFor = context_.now - state_.listeningSince();
   const bool settled = listeningFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
                        state_.holdsLeaderLease();
-  if (partitions_.mostlyIndirect()) prober_.probeRelayed();
+  if (partitions_.isMostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.reviewFaultyJobs();
   for (auto& [host, machine] : state_.machines.all())
@@ -36,16 +36,19 @@
 }
 
 const char* FailureDetector::transferReason() const {
-  const bool siblingsSilent = context_.now - context_.siblingHeardAt > constants::kPeerHeartbeatTimeout;
+  const bool siblingsSilent =
+      context_.now - context_.lastSiblingHeartbeatAt > constants::kPeerHeartbeatTimeout;
   const bool siblingConfirmed =
-      context_.now - context_.siblingConfirmedAt <= constants::kPeerHeartbeatTimeout;
+      context_.now - context_.lastConfirmedSiblingHeartbeatAt <= constants::kPeerHeartbeatTimeout;
   if (partitions_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "no worker heartbeats";
-  if (siblingConfirmed && partitions_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout)
+  if (siblingConfirmed &&
+      partitions_.withoutDirectContactFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "only relayed heartbeats";
   // Machines that are all dead would not come to the next leader either; siblings that are silent as well
   // tell a network partition from that.
-  if (siblingsSilent && partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
+  if (siblingsSilent &&
+      partitions_.withoutHeartbeatsFor(context_.now) > constants::kNewLeaderContactTimeout &&
       context_.now - state_.listeningSince() > constants::kNewLeaderContactTimeout)
     return "no heartbeats at all";
   return nullptr;
@@ -72,7 +75,7 @@
 
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
   const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
-  const bool maybePartitioned = partitions_.doubtful(machine.zone);
+  const bool maybePartitioned = partitions_.isSuspected(machine.zone);
   if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
       (leaseExpired || !maybePartitioned))
     lifecycle_.decommission(machine, "missed heartbeats");
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -61,7 +61,7 @@
 }
 
 void LeaderState::onTransactionRefused(const state::Outcome& outcome, const char* what) {
-  for (const std::string& key : outcome.failed) {
+  for (const std::string& key : outcome.failedKeys) {
     if (key.starts_with(kJobKeyPrefix)) {
       jobFeed.confirm(context.now, [](bool) {});
     } else if (jobs::isProgressKeyOfEndedJob(jobs, key)) {
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -14,8 +14,8 @@
 #include "machines/machines.hpp"
 #include "machines/placement_batches.hpp"
 #include "service/context.hpp"
+#include "state/committer.hpp"
 #include "state/feed.hpp"
-#include "state/transaction.hpp"
 
 namespace reachhoist::service {
 
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -69,7 +69,7 @@
 }
 
 void MachineLifecycle::writeDecommissioning() {
-  if (committer_.busy()) return;
+  if (committer_.isBusy()) return;
   std::vector<std::string> added;
   // One key names every machine that is being released; terminated ones leave it with its next write.
   Json names = Json::array();
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -8,7 +8,7 @@
 #include "cloud/client.hpp"
 #include "service/leader/gang_coordinator.hpp"
 #include "service/leader/leader_state.hpp"
-#include "state/transaction.hpp"
+#include "state/committer.hpp"
 
 namespace reachhoist::service {
 
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -19,7 +19,7 @@
       shares_(state) {}
 
 void PlacementScheduler::startRound() {
-  if (committer_.busy()) return;
+  if (committer_.isBusy()) return;
   Round round;
   reserveRemainingGangTasks(round);
   const bool due = state_.placementRoundRequested || context_.now >= replanAt_;
@@ -228,7 +228,7 @@
     }
     attempt.setPhase(AttemptPhase::recorded, context_.now);
     commands_.markDue(machine);
-    if (context_.logs(Level::debug))
+    if (context_.isLogged(Level::debug))
       context_.event(Level::debug, "placed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   }
   AttemptTracker::eraseFreed(machine);
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -14,7 +14,7 @@
 #include "service/leader/leader_state.hpp"
 #include "service/leader/round_shares.hpp"
 #include "service/leader/worker_commands.hpp"
-#include "state/transaction.hpp"
+#include "state/committer.hpp"
 
 namespace reachhoist::service {
 
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -21,7 +21,7 @@
 
 bool ServiceFailover::isPartitioned(const Machine& machine) const {
   return machine.phase == MachinePhase::up && machine.contact.unreachable &&
-         partitions_.contains(machine.zone);
+         partitions_.isPartitioned(machine.zone);
 }
 
 double ServiceFailover::capacityForServices() const {
@@ -43,7 +43,7 @@
 }
 
 void ServiceFailover::moveServices() {
-  if (partitions_.zones().empty() || partitions_.selfPartitioned()) return;
+  if (partitions_.zones().empty() || partitions_.isSelfPartitioned()) return;
   double capacity = capacityForServices();
   const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   // A machine not heard from in this term may have been partitioned from the earlier leader for long.
@@ -60,7 +60,7 @@
 }
 
 std::vector<placement::UnplacedDemand> ServiceFailover::servicesAtRisk() const {
-  if (partitions_.selfPartitioned()) return {};
+  if (partitions_.isSelfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasksByJob;
   for (const auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
--- a/src/service/partition_detector.hpp
+++ b/src/service/partition_detector.hpp
@@ -25,19 +25,19 @@
 
   // Zones that count as partitioned: most of their machines are quiet, or were a short time ago.
   const std::set<std::string>& zones() const { return zones_; }
-  bool contains(const std::string& zone) const { return zones_.contains(zone); }
+  bool isPartitioned(const std::string& zone) const { return zones_.contains(zone); }
   // Most machines of the zone are quiet or heard through siblings only: the others may soon be as well.
-  bool doubtful(const std::string& zone) const { return contains(zone) || doubtful_.contains(zone); }
+  bool isSuspected(const std::string& zone) const { return isPartitioned(zone) || doubtful_.contains(zone); }
   // Nearly all machines are quiet, wherever they are: it is this controller that is partitioned.
-  bool selfPartitioned() const { return selfPartitioned_; }
+  bool isSelfPartitioned() const { return selfPartitioned_; }
   // For how long that has been so with machines that had been heard from; zero if it is not so.
   wire::Duration selfPartitionedFor(Time now) const { return since(selfPartitionedSince_, now); }
   // Nearly all machines are quiet or heard through siblings.
-  bool mostlyIndirect() const { return mostlyIndirect_; }
+  bool isMostlyIndirect() const { return mostlyIndirect_; }
   // For how long no machine has been heard or reached directly, while siblings hear some.
-  wire::Duration unreachedFor(Time now) const { return since(unreachedSince_, now); }
+  wire::Duration withoutDirectContactFor(Time now) const { return since(unreachedSince_, now); }
   // For how long hardly any machine has been heard from at all, though many should be there.
-  wire::Duration unheardFor(Time now) const { return since(unheardSince_, now); }
+  wire::Duration withoutHeartbeatsFor(Time now) const { return since(unheardSince_, now); }
 
  private:
   struct Count {
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -74,14 +74,14 @@
 void Runtime::onFrame(const std::string& frame) {
   const auto message = peer::decode(frame);
   if (!message) return;
-  controller_.onPeer(reactor_.now(), wallClockMs(), *message);
+  controller_.onPeerMessage(reactor_.now(), wallClockMs(), *message);
   performActions();
 }
 
 void Runtime::performActions() {
   Actions actions = controller_.drain();
   for (const Reply& reply : actions.replies) sendReply(reply);
-  for (const PeerSend& send : actions.peers) sendToSibling(send);
+  for (const OutgoingPeerMessage& send : actions.peerMessages) sendToSibling(send);
   for (wire::Call& call : actions.calls) net::spawn(executeCall(std::move(call)));
 }
 
@@ -90,7 +90,7 @@
   server_.respond(reply.request, net::HttpResponse{reply.status, std::move(body), reply.retryAfterS});
 }
 
-void Runtime::sendToSibling(const PeerSend& send) {
+void Runtime::sendToSibling(const OutgoingPeerMessage& send) {
   const auto link = siblingLinks_.find(send.to);
   if (link != siblingLinks_.end()) link->second->send(peer::encode(send.message));
 }
--- a/src/service/runtime.hpp
+++ b/src/service/runtime.hpp
@@ -33,7 +33,7 @@
   // Carries out what the controller asks for; to be called after each event.
   void performActions();
   void sendReply(const Reply& reply);
-  void sendToSibling(const PeerSend& send);
+  void sendToSibling(const OutgoingPeerMessage& send);
 
   const config::Settings& settings_;
   net::Reactor reactor_;
--- a/src/service/shares.cpp
+++ b/src/service/share_table_follower.cpp
@@ -1,11 +1,11 @@
-#include "service/shares.hpp"
+#include "service/share_table_follower.hpp"
 
 #include <limits>
 #include <utility>
 
 namespace reachhoist::service {
 
-SharesFollower::SharesFollower(Context& context)
+ShareTableFollower::ShareTableFollower(Context& context)
     : context_(context),
       watch_(context.state, shares::kTableKey,
              [this](const Json* value, std::uint64_t revision) { onRecord(value, revision); }) {
@@ -13,19 +13,19 @@
   if (const auto problem = shares::fromOperators(context_.settings, configured_)) refuse(*problem);
 }
 
-void SharesFollower::tick(bool leads) {
+void ShareTableFollower::tick(bool leads) {
   watch_.tick(context_.now);
   if (leads) writeConfigured();
 }
 
-void SharesFollower::refuse(const config::FieldError& problem) {
+void ShareTableFollower::refuse(const config::FieldError& problem) {
   context_.event(Level::error, "shares_refused",
                  {{"field", problem.field},
                   {"why", problem.reason},
                   {"kept_generation", context_.shares ? context_.shares->generation : 0}});
 }
 
-void SharesFollower::onRecord(const Json* value, std::uint64_t revision) {
+void ShareTableFollower::onRecord(const Json* value, std::uint64_t revision) {
   revision_ = revision;
   if (value == nullptr) {
     storedGeneration_ = 0;
@@ -50,7 +50,7 @@
   context_.shares = std::move(table);
 }
 
-void SharesFollower::writeConfigured() {
+void ShareTableFollower::writeConfigured() {
   if (!storedGeneration_ || *storedGeneration_ >= configured_.generation || writing_ ||
       context_.now < retryAt_)
     return;
--- a/src/service/shares.hpp
+++ b/src/service/share_table_follower.hpp
@@ -13,9 +13,9 @@
 
 // Keeps Context::shares up to date with the stored share table. The last valid table stays in force whatever
 // is stored after it.
-class SharesFollower {
+class ShareTableFollower {
  public:
-  explicit SharesFollower(Context& context);
+  explicit ShareTableFollower(Context& context);
   // Begins to watch the stored record; call once.
   void start() { watch_.start(context_.now); }
   // To be called every constants::kTickInterval. A leader writes the table of the operators' file if none or
--- a/src/service/sibling_monitor.cpp
+++ b/src/service/sibling_monitor.cpp
@@ -7,18 +7,18 @@
 
 bool SiblingMonitor::onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat) {
   lastHeartbeats_[from] = LastHeartbeat{context_.now, heartbeat.confirmed};
-  context_.siblingHeardAt = context_.now;
-  if (heartbeat.confirmed) context_.siblingConfirmedAt = context_.now;
+  context_.lastSiblingHeartbeatAt = context_.now;
+  if (heartbeat.confirmed) context_.lastConfirmedSiblingHeartbeatAt = context_.now;
   if (!heartbeat.leading || heartbeat.term <= announcedTerm_) return false;
   announcedTerm_ = heartbeat.term;
   announcedLeader_ = from;
   return true;
 }
 
-void SiblingMonitor::resumed(wire::Duration suspendedFor) {
+void SiblingMonitor::onResumed(wire::Duration suspendedFor) {
   for (auto& [label, last] : lastHeartbeats_) last.at += suspendedFor;
-  context_.siblingHeardAt += suspendedFor;
-  context_.siblingConfirmedAt += suspendedFor;
+  context_.lastSiblingHeartbeatAt += suspendedFor;
+  context_.lastConfirmedSiblingHeartbeatAt += suspendedFor;
 }
 
 bool SiblingMonitor::reachable(const std::string& label) const {
--- a/src/service/sibling_monitor.hpp
+++ b/src/service/sibling_monitor.hpp
@@ -19,7 +19,7 @@
   // Takes a sibling's heartbeat; true if it announces a leader of a later term than any announced before.
   bool onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat);
   // The process was suspended for so long. Nothing was heard meanwhile, which says nothing about siblings.
-  void resumed(wire::Duration suspendedFor);
+  void onResumed(wire::Duration suspendedFor);
   // Whether the link to the sibling is up: its last heartbeat is not older than heartbeats may be.
   bool reachable(const std::string& label) const;
   // Whether this controller is cut off from the key-value store, which it last reached at `storeConfirmedAt`,
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -169,7 +169,7 @@
 void SubmissionQueue::giveUp(const std::string& ref) {
   const auto submission = submissions_.extract(ref);
   if (submission.empty()) return;
-  for (const std::uint64_t request : submission.mapped().requests) context_.later(request);
+  for (const std::uint64_t request : submission.mapped().requests) context_.replyTryAgain(request);
 }
 
 }  // namespace reachhoist::service
--- a/src/state/transaction.cpp
+++ b/src/state/committer.cpp
@@ -1,4 +1,4 @@
-#include "state/transaction.hpp"
+#include "state/committer.hpp"
 
 #include "state/answers.hpp"
 #include "wire/http_status.hpp"
--- a/src/state/transaction.hpp
+++ b/src/state/committer.hpp
@@ -15,8 +15,9 @@
 // The definite result of a transaction.
 struct Outcome {
   Verdict verdict = Verdict::refused;
-  std::uint64_t revision = 0;       // mod revision of every key written, when applied
-  std::vector<std::string> failed;  // keys whose preconditions did not hold, when refused ("?" if unknown)
+  std::uint64_t revision = 0;  // mod revision of every key written, when applied
+  std::vector<std::string>
+      failedKeys;  // keys whose preconditions did not hold, when refused ("?" if unknown)
 };
 
 // Serial writer with one transaction in flight. Every value written must be a JSON object: it gets a mark by
@@ -33,7 +34,7 @@
   Committer(Client& client, std::string markPrefix) : client_(client), markPrefix_(std::move(markPrefix)) {}
 
   // Whether a transaction is in flight; commit() may be called only when not busy.
-  bool busy() const { return state_ != State::idle; }
+  bool isBusy() const { return state_ != State::idle; }
   // Starts the transaction; retries it on outages and rate limits until its verdict is known.
   void commit(Time now, Urgency urgency, Transaction transaction, Done done);
   // Forgets the transaction under way; its outcome will not be told.
--- a/src/state/feed.hpp
+++ b/src/state/feed.hpp
@@ -36,10 +36,10 @@
   // Calls back once a read begun after this moment has brought in everything before it, or with false.
   void confirm(Time now, Confirmed done);
   // Whether one listing has been completed.
-  bool ready() const { return everListed_; }
+  bool isReady() const { return everListed_; }
   // Whether the last confirming read failed for another reason than the rate limits. Until one succeeds
   // again, confirm() fails at once.
-  bool failing() const { return failing_; }
+  bool isFailing() const { return failing_; }
   // The view holds every change made before this time.
   Time confirmedAt() const { return confirmedAt_; }
 
