--- a/src/service/catalog_loader.cpp
+++ b/src/service/catalog_loader.cpp
@@ -37,12 +37,12 @@
 
 void CatalogLoader::loadCopy() {
   context_.state.get(context_.now, state::Urgency::placement, kCatalogKey,
-                     [this](const wire::CallResult& stored) { onCopy(stored); });
+                     [this](const wire::CallResult& result) { onCopyRead(result); });
 }
 
-void CatalogLoader::onCopy(const wire::CallResult& stored) {
-  const Json* value = wire::field(stored.body, "value");
-  if (!stored.ok() || value == nullptr || context_.catalog) return;
+void CatalogLoader::onCopyRead(const wire::CallResult& result) {
+  const Json* value = wire::field(result.body, "value");
+  if (!result.ok() || value == nullptr || context_.catalog) return;
   auto catalog = wire::decodeCatalog(*value);
   if (!catalog) {
     context_.event(Level::error, "bad_record", {{"key", kCatalogKey}, {"why", catalog.reason()}});
--- a/src/service/context.cpp
+++ b/src/service/context.cpp
@@ -7,11 +7,11 @@
 Context::Context(const config::Settings& controllerSettings, Level logLevel, LogSink sink)
     : settings(controllerSettings), state(calls, settings), level(logLevel), logSink(std::move(sink)) {}
 
-void Context::event(Level of, std::string_view name, std::initializer_list<LogField> fields) const {
-  if (!isLogged(of)) return;
+void Context::event(Level lineLevel, std::string_view name, std::initializer_list<LogField> fields) const {
+  if (!isLogged(lineLevel)) return;
   std::string line = "event=" + std::string(name);
   for (const LogField& field : fields) line.append(" ").append(field.key).append("=").append(field.value);
-  logSink(of, line);
+  logSink(lineLevel, line);
 }
 
 void Context::reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS) {
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -1,5 +1,5 @@
-// State shared by all components of one controller: settings, current time, outgoing calls, replies, messages
-// to siblings, and the log.
+// The state that all components of one controller share: settings, current time, outgoing calls, replies,
+// messages to siblings, and the log.
 #pragma once
 
 #include <functional>
@@ -21,15 +21,15 @@
 using wire::Json;
 using wire::Time;
 
-// Log levels, most important first.
+// The log levels, the most important one first.
 enum class Level { error, info, debug };
 
 // An HTTP response to one request of a user or worker.
 struct Reply {
   std::uint64_t request = 0;               // number of the request, as given in Request
   int status = http::kServiceUnavailable;  // HTTP status
-  Json body;                               // null: no body
-  std::optional<int> retryAfterS;          // Retry-After header in seconds
+  Json body;                               // null if the response has no body
+  std::optional<int> retryAfterS;          // value of the Retry-After header
 };
 
 // A message to one sibling.
@@ -42,48 +42,48 @@
 struct LogField {
   std::string_view key;
   std::string value;
-  LogField(std::string_view name, std::string text) : key(name), value(std::move(text)) {}
-  LogField(std::string_view name, const char* text) : key(name), value(text) {}
+  LogField(std::string_view fieldKey, std::string fieldValue) : key(fieldKey), value(std::move(fieldValue)) {}
+  LogField(std::string_view fieldKey, const char* fieldValue) : key(fieldKey), value(fieldValue) {}
   template <class Number>
-  requires std::is_arithmetic_v<Number> LogField(std::string_view name, Number number)
-      : key(name), value(std::to_string(number)) {}
+  requires std::is_arithmetic_v<Number> LogField(std::string_view fieldKey, Number number)
+      : key(fieldKey), value(std::to_string(number)) {}
 };
 
-// Components read the time and queue their output here; Controller::drain() takes the output. Not
-// thread-safe.
+// Components read the current time here and queue their output here. Controller::drain() collects the output.
+// Context is not thread-safe.
 struct Context {
   using LogSink = std::function<void(Level, const std::string&)>;
 
-  // `controllerSettings` must outlive the context. Lines above `logLevel` are dropped.
+  // `controllerSettings` must outlive the context. Lines less important than `logLevel` are dropped.
   Context(const config::Settings& controllerSettings, Level logLevel, LogSink sink);
   Context(const Context&) = delete;
 
   const config::Settings& settings;
   wire::Calls calls;             // calls to outside systems that are queued or in flight
   state::Client state;           // client of the key-value store
-  Time now{};                    // steady time of the event that is being handled
-  std::int64_t wallClockMs = 0;  // the same as milliseconds since the Unix epoch
-  // When this process last resumed after it had been suspended while the clocks ran on. What was heard before
-  // says nothing about the present.
+  Time now{};                    // steady time of the event being handled
+  std::int64_t wallClockMs = 0;  // wall-clock time of that event since the Unix epoch
+  // The time at which this process last resumed after a suspension during which the clocks ran on. Messages
+  // received before it say nothing about the present state of their senders.
   Time resumedAt{};
-  Time lastSiblingHeartbeatAt{};           // latest heartbeat of any sibling
-  Time lastConfirmedSiblingHeartbeatAt{};  // latest heartbeat of a sibling that reaches the key-value store
-  std::optional<std::vector<wire::MachineType>> catalog;  // machine types; none until they are known
-  std::optional<shares::Table> shares;                    // fair-share table in force; none: shares are off
-  std::vector<Reply> replies;                             // responses to be sent
-  std::vector<OutgoingPeerMessage> peerMessages;          // messages to be sent to siblings
+  Time lastSiblingHeartbeatAt{};           // receipt of the latest heartbeat of any sibling
+  Time lastConfirmedSiblingHeartbeatAt{};  // receipt of one whose sender reaches the key-value store
+  std::optional<std::vector<wire::MachineType>> catalog;  // machine types; unset until they are loaded
+  std::optional<shares::Table> shares;            // fair-share table in force; unset if shares are off
+  std::vector<Reply> replies;                     // queued responses
+  std::vector<OutgoingPeerMessage> peerMessages;  // queued messages to siblings
   Level level;
   LogSink logSink;
 
-  // Whether lines of this level are logged; guards the building of costly fields.
-  bool isLogged(Level of) const { return of <= level; }
-  // Logs one line: event=NAME key=value ...
-  void event(Level of, std::string_view name, std::initializer_list<LogField> fields = {}) const;
+  // Returns whether lines of this level are logged, so that callers can skip the building of costly fields.
+  bool isLogged(Level lineLevel) const { return lineLevel <= level; }
+  // Logs one line of the form `event=NAME key=value ...`.
+  void event(Level lineLevel, std::string_view name, std::initializer_list<LogField> fields = {}) const;
   // Queues a response to a request.
   void reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS = std::nullopt);
-  // Queues a response whose body says what is wrong.
+  // Queues a response whose body holds the error text.
   void replyError(std::uint64_t request, int status, const std::string& error);
-  // Answers 503 with Retry-After: the request may succeed when it is repeated.
+  // Queues a 503 response with Retry-After. The request may succeed when the client repeats it.
   void replyTryAgain(std::uint64_t request);
   // Queues a message to one sibling.
   void sendTo(const std::string& sibling, peer::Payload payload);
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::string_view kJobsPrefix = "jobs/";
 
-// Least time between two confirming reads of the job feed: each controller spends a share of the key-value
-// store's request rate on them, and all controllers together are bounded as well.
-wire::Duration confirmGap(const config::Settings& settings) {
+// Returns the minimum time between two confirming reads of the job feed. Each controller spends a share of
+// the key-value store's request rate on them, and the sum over all controllers is bounded as well.
+wire::Duration minConfirmInterval(const config::Settings& settings) {
   const auto controllers = static_cast<double>(settings.siblings.size() + 1);
   const double share =
       std::min(constants::kMaxPollBudgetShare, constants::kTotalPollBudgetShare / controllers);
@@ -32,8 +32,8 @@
                        Context::LogSink sink)
     : settings_(settings),
       context_(settings, level, std::move(sink)),
-      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::placement, confirmGap(settings),
-               jobFeedHandlers()),
+      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::placement,
+               minConfirmInterval(settings), jobFeedHandlers()),
       leadership_(context_.state, settings, seed, leadershipHandlers()),
       siblings_(context_, leadership_),
       heartbeatRelay_(context_, leadership_, siblings_),
@@ -48,27 +48,28 @@
 // --- callbacks of the components ---------------------------------------------------------------------------
 
 state::Feed::Handlers Controller::jobFeedHandlers() {
-  const auto entry = [this](const std::string& key, const Json* value, std::uint64_t revision) {
+  const auto onEntry = [this](const std::string& key, const Json* value, std::uint64_t revision) {
     onJobRecord(key, value, revision);
   };
-  return {entry, nullptr, nullptr};
+  return {onEntry, nullptr, nullptr};
 }
 
 cluster::Leadership::Handlers Controller::leadershipHandlers() {
-  // Elections take effect in the next tick, because these are called while Leadership changes its own state.
+  // A change of leadership takes effect in the next tick, because Leadership calls these handlers while it
+  // changes its own state.
   const auto elected = [this](std::uint64_t term, const std::vector<std::uint64_t>& partitionRevisions) {
     pendingLeadershipChange_ = LeadershipChange{term, partitionRevisions};
     context_.event(Level::info, "elected", {{"term", term}});
   };
-  const auto deposed = [this](const char* why) {
+  const auto deposed = [this](const char* reason) {
     pendingLeadershipChange_ = LeadershipChange{};
-    context_.event(Level::info, "deposed", {{"why", why}});
+    context_.event(Level::info, "deposed", {{"why", reason}});
   };
-  const auto refused = [this](std::uint64_t layout) {
+  const auto layoutUnsupported = [this](std::uint64_t layout) {
     context_.event(Level::error, "layout_unsupported",
                    {{"found", layout}, {"readable", constants::kRecordLayout}});
   };
-  return {elected, deposed, refused};
+  return {elected, deposed, layoutUnsupported};
 }
 
 void Controller::onJobRecord(const std::string& key, const Json* value, std::uint64_t revision) {
@@ -91,8 +92,9 @@
 void Controller::beginEvent(Time now, std::int64_t wallClockMs) {
   context_.now = now;
   context_.wallClockMs = wallClockMs;
-  const Time before = std::exchange(lastEventAt_, now);
-  if (before != Time{} && now - before > constants::kStallThreshold) onResumed(now - before);
+  const Time previousEventAt = std::exchange(lastEventAt_, now);
+  if (previousEventAt != Time{} && now - previousEventAt > constants::kStallThreshold)
+    onResumed(now - previousEventAt);
 }
 
 void Controller::onResumed(wire::Duration suspendedFor) {
@@ -115,9 +117,9 @@
   beginEvent(now, wallClockMs);
   applyLeadershipChange();
   leadership_.tick(now);
-  // The leader may answer workers only while both this read and its lease are recent.
-  if (leader_ && now >= nextConfirm_) {
-    nextConfirm_ = now + constants::kLeadershipConfirmInterval;
+  // The leader can answer workers only while both its last confirming read and its lease are recent.
+  if (leader_ && now >= nextConfirmAt_) {
+    nextConfirmAt_ = now + constants::kLeadershipConfirmInterval;
     jobFeed_.confirm(now, [](bool) {});
   }
   jobFeed_.tick(now);
@@ -125,7 +127,7 @@
   if (shares_) shares_->tick(leadership_.isLeading());
   if (leader_) leader_->tick();
   catalogLoader_.tick();
-  if (now >= nextHeartbeat_) sendHeartbeat();
+  if (now >= nextHeartbeatAt_) sendHeartbeat();
   heartbeatRelay_.tick();
   context_.state.pump(now);
 }
@@ -218,12 +220,12 @@
   const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
   Leader* leader = activeLeader();
   if (heartbeat && leader != nullptr) {
-    const auto given = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
+    const auto answer = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
     if (context_.isLogged(Level::debug))
       context_.event(Level::debug, "relayed",
-                     {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
-    response.status = given.status;
-    if (given.status == http::kOk) response.body = wire::encodeBody(given.body);
+                     {{"machine", heartbeat->host.text}, {"through", from}, {"status", answer.status}});
+    response.status = answer.status;
+    if (answer.status == http::kOk) response.body = wire::encodeBody(answer.body);
   }
   context_.sendTo(from, std::move(response));
 }
@@ -233,21 +235,21 @@
 }
 
 void Controller::handlePeerPayload(const std::string& /*from*/, const peer::Progress& progress) {
-  // The leader counts the tasks itself.
+  // The leader counts the tasks itself, so it ignores progress from a sibling.
   if (leader_) return;
   progressReceiver_.apply(progress);
 }
 
 void Controller::handlePeerPayload(const std::string& from, const peer::Heartbeat& heartbeat) {
-  const bool newLeader = siblings_.onHeartbeat(from, heartbeat);
-  // This controller may be the last to learn of its successor. As long as it answered workers 200, they would
-  // not look for the new leader.
-  if (newLeader && leadership_.isLeading() && heartbeat.term > leadership_.term())
+  const bool isNewLeader = siblings_.onHeartbeat(from, heartbeat);
+  // The sibling's heartbeat can arrive before this controller finds the new leader in the key-value store. As
+  // long as this controller answers workers with 200, they do not look for the new leader.
+  if (isNewLeader && leadership_.isLeading() && heartbeat.term > leadership_.term())
     leadership_.resign("a sibling leads under a later term");
 }
 
 void Controller::sendHeartbeat() {
-  nextHeartbeat_ = context_.now + constants::kPeerHeartbeatInterval;
+  nextHeartbeatAt_ = context_.now + constants::kPeerHeartbeatInterval;
   const bool storeConfirmed = context_.now - jobFeed_.confirmedAt() < constants::kPeerHeartbeatTimeout;
   context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.isLeading(), storeConfirmed});
   if (leader_) progressPublisher_.publish(*leader_);
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -1,5 +1,5 @@
-// One controller of the cluster as a deterministic state machine: events and the time go in, actions come
-// out. It has no sockets and no clocks; Runtime (or a simulation) provides them.
+// One controller of the cluster as a deterministic state machine. It takes events with their times and
+// returns actions. It has no sockets and no clocks; Runtime or a simulation provides them.
 #pragma once
 
 #include <memory>
@@ -21,48 +21,49 @@
 
 // An HTTP request of a user or a worker.
 struct Request {
-  std::uint64_t number = 0;  // identifies the request in Reply
+  std::uint64_t number = 0;  // identifies the request in its Reply
   std::string method;
-  std::string target;  // path, perhaps with a query string
+  std::string target;  // path, optionally with a query string
   std::string body;
 };
 
-// Output of a controller. Whoever runs it carries the calls out and reports their results with onResult().
+// The output of a controller. The caller carries out the calls and reports their results with onResult().
 struct Actions {
   std::vector<wire::Call> calls;
   std::vector<Reply> replies;
   std::vector<OutgoingPeerMessage> peerMessages;
 };
 
-// Composes the components that every controller has, and the Leader while it leads. Each event takes the
-// steady time and the wall time (milliseconds since the Unix epoch). Not thread-safe.
+// Composes the components that every controller has, and the Leader while this controller leads. Each event
+// takes the steady time and the wall-clock time (milliseconds since the Unix epoch). Controller is not
+// thread-safe.
 class Controller {
  public:
-  // settings: must outlive the controller. seed: of the random jitter of elections. sink: takes log lines up
-  // to `level`.
+  // `settings` must outlive the controller. `seed` seeds the random jitter of elections. `sink` receives the
+  // log lines up to `level`.
   Controller(const config::Settings& settings, std::uint64_t seed, Level level, Context::LogSink sink);
   Controller(const Controller&) = delete;
 
-  // To be called once, before any other event.
+  // Starts all components. It must be called once, before any other event.
   void start(Time now, std::int64_t wallClockMs);
-  // An HTTP request has come; the reply may follow in a later drain().
+  // Handles an HTTP request. The reply may follow in a later drain().
   void onRequest(Time now, std::int64_t wallClockMs, const Request& request);
-  // A call from drain() has ended.
+  // Handles the result of a call that drain() returned.
   void onResult(Time now, std::int64_t wallClockMs, std::uint64_t call, const wire::CallResult& result);
-  // A sibling's message has come.
+  // Handles a message of a sibling; messages of unknown senders are ignored.
   void onPeerMessage(Time now, std::int64_t wallClockMs, const peer::Message& message);
-  // To be called every constants::kTickInterval.
+  // Drives timeouts and periodic work. It must be called every constants::kTickInterval.
   void tick(Time now, std::int64_t wallClockMs);
-  // Takes what is to be done; to be called after each event.
+  // Returns and clears the queued actions. It must be called after each event.
   Actions drain();
 
-  // Whether this controller leads.
+  // Returns whether this controller leads.
   bool isLeading() const { return leadership_.isLeading(); }
 
  private:
-  // An election or a loss of leadership that has not taken effect yet.
+  // An election, or a loss of leadership, that has not taken effect yet.
   struct LeadershipChange {
-    std::uint64_t term = 0;  // 0: this controller no longer leads
+    std::uint64_t term = 0;  // 0 if this controller no longer leads
     std::vector<std::uint64_t> partitionRevisions;
   };
 
@@ -78,7 +79,7 @@
 
   // --- Leadership
   void applyLeadershipChange();
-  // The leader, unless its leadership has begun or ended and that has not taken effect yet; may be null.
+  // Returns the leader, or null if there is none or if a change of leadership has not taken effect yet.
   Leader* activeLeader() const;
 
   // --- Requests
@@ -103,12 +104,12 @@
   ProgressReceiver progressReceiver_;
   CatalogLoader catalogLoader_;
   JobApi jobApi_;
-  std::unique_ptr<ShareTableFollower> shares_;  // null: fair shares are not configured
-  std::unique_ptr<Leader> leader_;              // null: this controller does not lead
+  std::unique_ptr<ShareTableFollower> shares_;  // null if fair shares are not configured
+  std::unique_ptr<Leader> leader_;              // null if this controller does not lead
   std::optional<LeadershipChange> pendingLeadershipChange_;
   Time lastEventAt_{};
-  Time nextConfirm_{};
-  Time nextHeartbeat_{};
+  Time nextConfirmAt_{};
+  Time nextHeartbeatAt_{};
 };
 
 }  // namespace reachhoist::service
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -20,30 +20,30 @@
 HeartbeatRelay::WorkerRoute& HeartbeatRelay::routeOf(const std::string& host, const std::string& leader) {
   WorkerRoute& route = routes_[host];
   if (route.leader != leader) route = WorkerRoute{leader, {}, {}, {}};
-  route.lastSeen = context_.now;
+  route.lastHeartbeatAt = context_.now;
   return route;
 }
 
 bool HeartbeatRelay::cannotReachLeader(const WorkerRoute& route,
                                        const wire::WorkerHeartbeat& heartbeat) const {
-  // The worker got commands under this term, or was redirected a moment ago, so it knows the leader and came
-  // here all the same.
+  // The worker has received commands under this term, or was redirected a moment ago. It therefore has the
+  // leader's address, and sent its heartbeat to this controller because the leader did not answer.
   return heartbeat.fencingToken >= cluster::fencingToken(leadership_.term(), 0) ||
          context_.now - route.redirectedAt < constants::kRedirectMemory;
 }
 
 bool HeartbeatRelay::mustRetryDirectPath(const WorkerRoute& route) const {
-  // The network between worker and leader may have healed since.
+  // The network between the worker and the leader can have recovered since the relaying began.
   return route.relayedSince != Time{} && context_.now - route.relayedSince > constants::kMaxRelayDuration;
 }
 
 void HeartbeatRelay::relay(std::uint64_t request, WorkerRoute& route, const std::string& body) {
-  // Without a link to the leader this controller can't relay either, but the next one may. Redirected to the
-  // leader, the worker would come back here again and again.
-  if (!siblings_.reachable(route.leader)) return context_.replyTryAgain(request);
+  // Without a link to the leader this controller cannot relay, but the controller that the worker tries next
+  // may have one. A redirect to the leader would only send the worker back here, again and again.
+  if (!siblings_.isReachable(route.leader)) return context_.replyTryAgain(request);
   if (route.relayedSince == Time{}) route.relayedSince = context_.now;
-  const std::uint64_t number = nextNumber_++;
-  pending_[number] = PendingRelay{request, context_.now + constants::kRelayTimeout};
+  const std::uint64_t number = nextRelayNumber_++;
+  pendingRelays_[number] = PendingRelay{request, context_.now + constants::kRelayTimeout};
   context_.sendTo(route.leader, peer::RelayRequest{number, body});
 }
 
@@ -54,10 +54,10 @@
 }
 
 void HeartbeatRelay::onResponse(const peer::RelayResponse& response) {
-  const auto found = pending_.find(response.number);
-  if (found == pending_.end()) return;
+  const auto found = pendingRelays_.find(response.number);
+  if (found == pendingRelays_.end()) return;
   const std::uint64_t request = found->second.request;
-  pending_.erase(found);
+  pendingRelays_.erase(found);
   const auto body = wire::decodeBody(response.body);
   if (response.status != http::kOk || !body) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, *body);
@@ -65,19 +65,19 @@
 
 void HeartbeatRelay::tick() {
   std::erase_if(routes_, [this](const auto& entry) {
-    return context_.now - entry.second.lastSeen > 2 * constants::kMaxRelayDuration;
+    return context_.now - entry.second.lastHeartbeatAt > 2 * constants::kMaxRelayDuration;
   });
-  expirePending();
+  expirePendingRelays();
 }
 
-void HeartbeatRelay::expirePending() {
-  for (auto pending = pending_.begin(); pending != pending_.end();) {
+void HeartbeatRelay::expirePendingRelays() {
+  for (auto pending = pendingRelays_.begin(); pending != pendingRelays_.end();) {
     if (pending->second.deadline > context_.now) {
       ++pending;
       continue;
     }
     context_.replyTryAgain(pending->second.request);
-    pending = pending_.erase(pending);
+    pending = pendingRelays_.erase(pending);
   }
 }
 
--- a/src/service/heartbeat_relay.hpp
+++ b/src/service/heartbeat_relay.hpp
@@ -1,5 +1,6 @@
-// Handling of worker heartbeats that reach a controller which doesn't lead: redirect to the leader, or relay
-// over the peer link when the worker can't reach the leader itself.
+// Handling of worker heartbeats that reach a controller that does not lead. The controller redirects the
+// worker to the leader, or relays the heartbeat over the peer link if the worker cannot reach the leader
+// itself.
 #pragma once
 
 #include <map>
@@ -11,29 +12,31 @@
 
 namespace reachhoist::service {
 
-// The follower's side of the relay; the leader's side is in Controller.
+// The follower's side of the relay. The leader's side is in Controller.
 class HeartbeatRelay {
  public:
   HeartbeatRelay(Context& context, const cluster::Leadership& leadership, const SiblingMonitor& siblings);
 
-  // Answers a worker's heartbeat: 421 with the leader's label, or 503 when no way to the leader is known, or,
-  // when it is relayed, what the leader answers. `body` is the request's body as received.
+  // Answers a worker's heartbeat. The answer is 421 with the leader's label for a redirect, the leader's own
+  // answer for a relayed heartbeat, and 503 if this controller has no path to the leader. `body` is the
+  // request's body as received.
   void redirectOrRelay(std::uint64_t request, const wire::WorkerHeartbeat& heartbeat,
                        const std::string& body);
-  // Takes the leader's answer to a relayed heartbeat and passes it to the worker.
+  // Forwards the leader's answer to a relayed heartbeat to the worker.
   void onResponse(const peer::RelayResponse& response);
-  // Forgets workers that stay away, and answers 503 for relayed heartbeats that got no answer in time.
+  // Drops the routes of workers that no longer send heartbeats, and answers 503 to relayed heartbeats that
+  // the leader has not answered in time.
   void tick();
 
  private:
-  // How the heartbeats of one worker have been handled lately.
+  // The recent handling of one worker's heartbeats.
   struct WorkerRoute {
     std::string leader;
     Time redirectedAt{};
-    Time relayedSince{};  // unset: not relayed
-    Time lastSeen{};
+    Time relayedSince{};  // unset if the heartbeats are not relayed
+    Time lastHeartbeatAt{};
   };
-  // A heartbeat that was relayed and not answered yet.
+  // A relayed heartbeat that the leader has not answered yet.
   struct PendingRelay {
     std::uint64_t request = 0;
     Time deadline{};
@@ -44,14 +47,14 @@
   bool mustRetryDirectPath(const WorkerRoute& route) const;
   void relay(std::uint64_t request, WorkerRoute& route, const std::string& body);
   void redirect(std::uint64_t request, WorkerRoute& route);
-  void expirePending();
+  void expirePendingRelays();
 
   Context& context_;
   const cluster::Leadership& leadership_;
   const SiblingMonitor& siblings_;
-  std::map<std::string, WorkerRoute> routes_;      // by the worker's host
-  std::map<std::uint64_t, PendingRelay> pending_;  // by the relay's number
-  std::uint64_t nextNumber_ = 1;
+  std::map<std::string, WorkerRoute> routes_;            // by the worker's host
+  std::map<std::uint64_t, PendingRelay> pendingRelays_;  // by the relay's number
+  std::uint64_t nextRelayNumber_ = 1;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -12,7 +12,7 @@
 
 constexpr double kBytesPerKb = 1024;
 
-bool offeredInZone(const wire::MachineType& machineType, const std::optional<std::string>& zone) {
+bool isOfferedInZone(const wire::MachineType& machineType, const std::optional<std::string>& zone) {
   const auto& zones = machineType.zones;
   if (!zone) return !zones.empty();
   return std::find(zones.begin(), zones.end(), *zone) != zones.end();
@@ -20,21 +20,21 @@
 
 bool taskFits(const wire::JobSpec& spec, const wire::MachineType& machineType) {
   return spec.allowsMachineType(machineType.name) && spec.taskResources.fitsIn(machineType.capacity) &&
-         offeredInZone(machineType, spec.requiredZone);
+         isOfferedInZone(machineType, spec.requiredZone);
 }
 
 bool exceedsTeamLimit(const wire::JobSpec& spec, const config::Team& team) {
-  // The tasks of an array may run one after another.
+  // The tasks of an array can run one after another.
   const double concurrentTasks = spec.kind == wire::JobKind::array ? 1 : spec.taskCount;
-  const bool cpus = team.cpusMax > 0 &&
-                    spec.taskResources.vcpus * concurrentTasks > team.cpusMax + constants::kResourceRounding;
-  const bool gpus = team.gpusMax > 0 && spec.taskResources.accelerators * concurrentTasks >
-                                            team.gpusMax + constants::kResourceRounding;
-  return cpus || gpus;
+  const bool exceedsCpus = team.cpusMax > 0 && spec.taskResources.vcpus * concurrentTasks >
+                                                   team.cpusMax + constants::kResourceRounding;
+  const bool exceedsGpus = team.gpusMax > 0 && spec.taskResources.accelerators * concurrentTasks >
+                                                   team.gpusMax + constants::kResourceRounding;
+  return exceedsCpus || exceedsGpus;
 }
 
-std::optional<std::string> whyNotRunnable(const wire::JobSpec& spec, const Catalog& catalog,
-                                          const config::Settings& settings) {
+std::optional<std::string> rejectionReason(const wire::JobSpec& spec, const Catalog& catalog,
+                                           const config::Settings& settings) {
   const config::Team* team = settings.team(spec.team);
   if (team == nullptr) return "unknown team";
   const bool fits = std::any_of(catalog.begin(), catalog.end(), [&](const wire::MachineType& machineType) {
@@ -47,9 +47,9 @@
 
 void dropUnknownMachineTypes(wire::JobSpec& spec, const Catalog& catalog) {
   if (!spec.allowedMachineTypes) return;
-  std::erase_if(*spec.allowedMachineTypes, [&catalog](const std::string& label) {
+  std::erase_if(*spec.allowedMachineTypes, [&catalog](const std::string& name) {
     return std::none_of(catalog.begin(), catalog.end(),
-                        [&label](const wire::MachineType& known) { return known.name == label; });
+                        [&name](const wire::MachineType& machineType) { return machineType.name == name; });
   });
 }
 
@@ -64,7 +64,7 @@
 
 std::optional<Rejection> admit(wire::JobSpec& spec, const Catalog& catalog,
                                const config::Settings& settings) {
-  if (const auto reason = whyNotRunnable(spec, catalog, settings))
+  if (const auto reason = rejectionReason(spec, catalog, settings))
     return Rejection{http::kUnprocessableContent, *reason};
   dropUnknownMachineTypes(spec, catalog);
   if (!fitsStoredValue(spec, settings))
--- a/src/service/job_admission.hpp
+++ b/src/service/job_admission.hpp
@@ -1,4 +1,4 @@
-// Admission control: whether a valid job specification can ever run and be stored.
+// Admission control, which decides whether a valid job specification can ever run and be stored.
 #pragma once
 
 #include <optional>
@@ -11,15 +11,15 @@
 
 namespace reachhoist::service {
 
-// Why a job is refused.
+// The reason for rejecting a job.
 struct Rejection {
   int status = http::kUnprocessableContent;  // HTTP status
   std::string reason;
 };
 
 // Checks the job against its team's limits, the machine types and the key-value store's limit on values.
-// Removes machine types that don't exist from the specification, since they can't matter and the stored
-// record has limited size. Nothing: the job is admitted.
+// Removes machine types that do not exist from the specification, since they have no effect and the stored
+// record has a limited size. Returns nothing if the job is admitted.
 std::optional<Rejection> admit(wire::JobSpec& spec, const std::vector<wire::MachineType>& catalog,
                                const config::Settings& settings);
 
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -6,7 +6,7 @@
 namespace reachhoist::service {
 
 namespace {
-constexpr int kMaxAbortAttempts = 4;  // each conflict means that the job's record has changed concurrently
+constexpr int kMaxAbortAttempts = 4;  // a conflict means that the job's record has changed concurrently
 }  // namespace
 
 JobApi::JobApi(Context& context, state::Feed& feed, jobs::JobTable& jobs,
@@ -21,7 +21,7 @@
 
 void JobApi::query(std::uint64_t request, const std::string& ref) {
   if (!wire::validJobRef(ref)) return replyNoSuchJob(context_, request);
-  // A final stage never changes; anything else needs a read that begins after the request came.
+  // A final stage never changes. Any other stage needs a read that begins after the request arrived.
   if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->isOpen())
     return context_.reply(request, http::kOk, jobStatus(*job));
   feed_.confirm(context_.now, [this, request, ref](bool confirmed) {
@@ -45,7 +45,7 @@
   const std::string ref = wire::textField(*decoded, "ref").value_or("");
   auto spec = wire::decodeJob(*decoded);
   if (!wire::validJobRef(ref)) return context_.replyError(request, http::kBadRequest, spec.reason());
-  // An accepted job stays accepted, even if this body would be rejected now.
+  // An accepted job remains accepted even if this body would now be rejected.
   if (jobs_.find(ref) != nullptr) return replyExisting(request, ref);
   if (!feed_.isReady() || feed_.isFailing() || !context_.catalog) return context_.replyTryAgain(request);
   if (!spec) return reject(request, ref, Rejection{http::kBadRequest, spec.reason()});
--- a/src/service/job_api.hpp
+++ b/src/service/job_api.hpp
@@ -1,4 +1,5 @@
-// The users' API: submit, query and abort jobs. Each controller that knows the machine types serves it.
+// The API by which users submit, query and abort jobs. Each controller that has loaded the machine types
+// serves it.
 #pragma once
 
 #include <string>
@@ -13,32 +14,32 @@
 namespace reachhoist::service {
 
 // Answers requests about jobs from the job table and the key-value store. Every request gets exactly one
-// reply, at once or later. Not thread-safe.
+// reply, immediately or later. JobApi is not thread-safe.
 class JobApi {
  public:
-  // onJobChange: called for each job that this controller itself has accepted or ended.
+  // `onJobChange` is called for each job that this controller itself has accepted or ended.
   JobApi(Context& context, state::Feed& feed, jobs::JobTable& jobs, const cluster::Leadership& leadership,
          const OnJobChange& onJobChange);
 
-  // Accepts a job: 201, or 200 if it has been accepted before; 400 for a malformed body, 422 for a job that
-  // can never run, 503 if it should be submitted again. `body` is the request's body.
+  // Accepts a job. The reply is 201, or 200 if the job was accepted before; 400 for a malformed body, 422 for
+  // a job that can never run, and 503 if the user should submit it again. `body` is the request's body.
   void submit(std::uint64_t request, const std::string& body);
-  // Shows a job: 200, 404 or 503.
+  // Shows a job. The reply is 200, 404 or 503.
   void query(std::uint64_t request, const std::string& ref);
-  // Cancels a job: 200, also if it has ended before; 404 or 503.
+  // Cancels a job. The reply is 200, also if the job has already ended, or 404 or 503.
   void abort(std::uint64_t request, const std::string& ref);
-  // To be called on each tick of the controller.
+  // Sends queued submissions. It must be called on each tick of the controller.
   void tick();
 
  private:
-  // An abort, which is repeated while the job's record changes concurrently.
+  // An abort request. Its write is retried when the job's record has changed concurrently.
   struct Abort {
     std::uint64_t request = 0;
     std::string ref;
     int attemptsLeft = 0;
   };
 
-  // Answers with the rejection, unless the key-value store knows the job as accepted.
+  // Answers with the rejection, unless a confirming read finds that the job has been accepted.
   void reject(std::uint64_t request, const std::string& ref, const Rejection& rejection);
   void replyExisting(std::uint64_t request, const std::string& ref);
   void tryAbort(const Abort& abort);
--- a/src/service/job_progress.cpp
+++ b/src/service/job_progress.cpp
@@ -5,17 +5,18 @@
 namespace reachhoist::service {
 
 namespace {
-// Every fifth message names all jobs, since messages between controllers may be lost.
+// Every fifth message covers all jobs, because messages between controllers can be lost.
 constexpr int kFullProgressInterval = 5;
 }  // namespace
 
 void ProgressPublisher::publish(Leader& leader) {
-  const bool allJobs = ++published_ % kFullProgressInterval == 0;
+  const bool allJobs = ++publishCount_ % kFullProgressInterval == 0;
   send(leader.progress(allJobs));
 }
 
 void ProgressPublisher::send(const peer::Progress& progress) {
-  // In several messages, because a frame that is too large would be dropped whole, each time again.
+  // The progress is split into several messages, because a frame that is too large is dropped as a whole, and
+  // so would every later frame of the same size.
   const auto jobs = progress.jobs.begin();
   for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kMaxJobsPerProgressMessage) {
     const std::size_t to = std::min(progress.jobs.size(), from + constants::kMaxJobsPerProgressMessage);
--- a/src/service/job_progress.hpp
+++ b/src/service/job_progress.hpp
@@ -1,5 +1,5 @@
-// Progress of running jobs, which the leader sends to its siblings so that they can show it to users. For
-// display only: nothing is decided by it.
+// The progress of running jobs. The leader sends it to its siblings so that they can show it to users. It is
+// for display only; no decision depends on it.
 #pragma once
 
 #include "jobs/jobs.hpp"
@@ -8,27 +8,29 @@
 
 namespace reachhoist::service {
 
-// The leader's side.
+// Sends progress messages. The leader uses it.
 class ProgressPublisher {
  public:
   explicit ProgressPublisher(Context& context) : context_(context) {}
 
-  // Sends the progress of jobs whose counts changed since the last call, and now and then of all jobs.
+  // Sends the progress of the jobs whose counts have changed since the last call and, at regular intervals,
+  // of all jobs.
   void publish(Leader& leader);
 
  private:
   void send(const peer::Progress& progress);
 
   Context& context_;
-  int published_ = 0;
+  int publishCount_ = 0;
 };
 
-// The followers' side.
+// Applies the leader's progress messages. The followers use it.
 class ProgressReceiver {
  public:
   explicit ProgressReceiver(jobs::JobTable& jobs) : jobs_(jobs) {}
 
-  // Takes over the counts for display; those of an earlier term than the latest seen are ignored.
+  // Copies the counts into the job table for display. A message of an earlier term than the latest received
+  // term is ignored.
   void apply(const peer::Progress& progress);
 
  private:
--- a/src/service/job_responses.hpp
+++ b/src/service/job_responses.hpp
@@ -9,15 +9,15 @@
 
 namespace reachhoist::service {
 
-// The job's stage and task counts, as a query shows them.
+// Returns the job's stage and task counts, the body of a reply to a query.
 Json jobStatus(const jobs::Job& job);
-// The job's stage alone, as a submission or an abort shows it.
+// Returns the job's stage, the body of a reply to a submission or an abort.
 Json jobSummary(const jobs::Job& job);
 
-// Answers 404: no such job.
+// Replies 404 with the error "no such job".
 void replyNoSuchJob(Context& context, std::uint64_t request);
-// Answers with the summary of a job that is known to exist. One that is not final is answered from a read
-// that begins after the request came.
+// Replies with the summary of an existing job. If the job's stage is not final, the reply is based on a read
+// that begins after the request arrived.
 void replyExistingJob(Context& context, state::Feed& feed, jobs::JobTable& jobs, std::uint64_t request,
                       const std::string& ref);
 
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -25,25 +25,26 @@
               [this](const auto& hosts) { inventory_.onListed(hosts); },
               [this](std::vector<wire::MachineType> catalog) { context_.catalog = std::move(catalog); }}),
       lifecycle_(state_, gangs_, cloud_),
-      boots_(state_, lifecycle_),
+      bootMonitor_(state_, lifecycle_),
       taskFailures_(state_, lifecycle_),
       attempts_(state_, gangs_, taskFailures_, records_),
       inventory_(state_, lifecycle_, attempts_),
-      heartbeats_(state_, commands_, lifecycle_, attempts_, boots_, inventory_),
+      heartbeats_(state_, commands_, lifecycle_, attempts_, bootMonitor_, inventory_),
       scheduler_(state_, commands_, gangs_, attempts_),
       partitions_(context.settings),
       failover_(state_, lifecycle_, scheduler_, partitions_),
       prober_(state_, commands_, heartbeats_),
       failureDetector_(state_, lifecycle_, attempts_, taskFailures_, prober_, failover_, partitions_),
-      autoscaler_(state_, lifecycle_, inventory_, boots_, scheduler_, failover_, partitions_, cloud_),
+      autoscaler_(state_, lifecycle_, inventory_, bootMonitor_, scheduler_, failover_, partitions_, cloud_),
       loader_(state_, records_, gangs_, lifecycle_, cloud_) {}
 
-void Leader::onResumed(wire::Duration away) {
-  // Nothing was heard because nobody listened. Leases that were renewed before have run on, though.
+void Leader::onResumed(wire::Duration suspendedFor) {
+  // The suspended process could receive no heartbeats, so the contact times are shifted. The leases of
+  // machines are not, because they kept running meanwhile.
   for (auto& [host, machine] : state_.machines.all()) {
-    machine.contact.lastHeartbeatAt += away;
-    machine.contact.lastDirectContactAt += away;
-    if (machine.contact.unacknowledgedSince != Time{}) machine.contact.unacknowledgedSince += away;
+    machine.contact.lastHeartbeatAt += suspendedFor;
+    machine.contact.lastDirectContactAt += suspendedFor;
+    if (machine.contact.unacknowledgedSince != Time{}) machine.contact.unacknowledgedSince += suspendedFor;
   }
   partitions_.reset();
 }
@@ -56,7 +57,7 @@
   }
   cloud_.tick(context_.now);
   failureDetector_.tick();
-  boots_.tick();
+  bootMonitor_.tick();
   lifecycle_.advance();
   advance();
   if (state_.resigned()) return;
@@ -115,20 +116,20 @@
   state_.requestPlacementRound();
 }
 
-peer::Progress Leader::progress(bool all) {
-  peer::Progress out;
-  out.term = state_.term;
-  if (phase_ != Phase::acting) return out;
+peer::Progress Leader::progress(bool allJobs) {
+  peer::Progress message;
+  message.term = state_.term;
+  if (phase_ != Phase::acting) return message;
   for (const std::string& ref : state_.jobs.openJobs()) {
     const jobs::Job& job = *state_.jobs.find(ref);
     const TaskCounts counts{job.completedCount, job.runningCount};
     TaskCounts& published = publishedCounts_[ref];
-    if (!all && published == counts) continue;
+    if (!allJobs && published == counts) continue;
     published = counts;
-    if (counts != TaskCounts{} || !all)
-      out.jobs.push_back(peer::JobProgress{ref, job.completedCount, job.runningCount});
+    if (counts != TaskCounts{} || !allJobs)
+      message.jobs.push_back(peer::JobProgress{ref, job.completedCount, job.runningCount});
   }
-  return out;
+  return message;
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -1,4 +1,5 @@
-// The leader's side of a controller: workers, placement, completions and the fleet, for one term.
+// The part of a controller that manages workers, placement, completions and the fleet while it leads. One
+// object serves one term.
 #pragma once
 
 #include <cstdint>
@@ -28,34 +29,37 @@
 
 namespace reachhoist::service {
 
-// Composes the components of one term and drives them. Created when this controller is elected and destroyed
-// when it is deposed; first loads the records of earlier leaders. Not thread-safe.
+// Composes the components of one term and drives them. The controller creates it when it is elected and
+// destroys it when it is deposed. It first loads the records of earlier leaders. Leader is not thread-safe.
 class Leader {
  public:
-  // `partitionRevisions`: revision of each partition's key as this leader acquired it, by partition id.
+  // `partitionRevisions` holds the mod revision at which this leader acquired each partition's key, by
+  // partition id.
   Leader(Context& context, cluster::Leadership& leadership, state::Feed& jobFeed, jobs::JobTable& jobs,
          std::uint64_t term, std::vector<std::uint64_t> partitionRevisions);
   Leader(const Leader&) = delete;
 
-  // To be called every constants::kTickInterval.
+  // Drives loading, timeouts and periodic work. It must be called every constants::kTickInterval.
   void tick();
-  // To be called after each answer from outside: goes on with transactions, rounds and commands at once.
+  // Continues transactions, placement rounds and commands without waiting for the next tick. It must be
+  // called after each result of a call.
   void advance();
-  // The job has been accepted; its record is durable.
+  // Starts tracking a job that has been accepted, and whose record is durable.
   void onJobAccepted(jobs::Job& job);
-  // The job's final phase is durable: stops what is left of it.
+  // Stops the remaining attempts of a job whose final phase is durable.
   void onJobEnded(jobs::Job& job);
-  // A heartbeat of a worker, sent to this controller or relayed by a sibling. 503 unless it may be answered.
+  // Handles a worker's heartbeat, which the worker sent to this controller or a sibling relayed. The response
+  // is 503 if this leader must not answer it now.
   HeartbeatResponse onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
-  // This process goes on after it has stood still for this long.
-  void onResumed(wire::Duration away);
+  // Adjusts the contact times of all machines after a suspension of this process.
+  void onResumed(wire::Duration suspendedFor);
 
-  // Progress of open jobs for the siblings' answers to users: of all jobs, or of those whose counts have
-  // changed since the last call.
-  peer::Progress progress(bool all);
+  // Returns the progress of open jobs for the siblings' answers to users. It covers all jobs, or only those
+  // whose counts have changed since the last call.
+  peer::Progress progress(bool allJobs);
 
  private:
-  // loading: reading the records of earlier leaders. acting: everything else.
+  // loading: the records of earlier leaders are being read. acting: all components work.
   enum class Phase { loading, acting };
   struct TaskCounts {
     std::uint32_t completed = 0;
@@ -73,7 +77,7 @@
   GangCoordinator gangs_;
   cloud::Client cloud_;
   MachineLifecycle lifecycle_;
-  BootMonitor boots_;
+  BootMonitor bootMonitor_;
   TaskFailurePolicy taskFailures_;
   AttemptTracker attempts_;
   InstanceInventory inventory_;
@@ -85,7 +89,7 @@
   FailureDetector failureDetector_;
   Autoscaler autoscaler_;
   StateLoader loader_;
-  std::map<std::string, TaskCounts> publishedCounts_;  // by job, as of the last progress message
+  std::map<std::string, TaskCounts> publishedCounts_;  // by job reference, as in the last progress message
 };
 
 }  // namespace reachhoist::service
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -7,35 +7,33 @@
 using machines::MachinePhase;
 
 namespace {
-// More than three quarters.
-bool nearlyAll(int count, int total) { return count * 4 > total * 3; }
-// More than half.
-bool most(int count, int total) { return count * 2 > total; }
-// Fewer than a tenth.
-bool hardlyAny(int count, int total) { return count * 10 < total; }
-// Whether so many machines of a zone suggest that the zone is partitioned.
+bool isOverThreeQuarters(int count, int total) { return count * 4 > total * 3; }
+bool isOverHalf(int count, int total) { return count * 2 > total; }
+bool isUnderTenth(int count, int total) { return count * 10 < total; }
+// Returns whether `count` machines without contact, of `up` in a zone, suggest that the zone is partitioned.
 bool suggestsPartition(int count, int up) { return count > 1 && count > up * constants::kZonePartitionShare; }
 }  // namespace
 
-void PartitionDetector::Count::add(const Count& other) {
+void PartitionDetector::MachineCounts::add(const MachineCounts& other) {
   up += other.up;
-  quiet += other.quiet;
-  indirect += other.indirect;
-  heard += other.heard;
+  overdue += other.overdue;
+  withoutDirectContact += other.withoutDirectContact;
+  reported += other.reported;
 }
 
-PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
-  const auto overdue =
+PartitionDetector::MachineCounts PartitionDetector::countsOf(const Machine& machine, Time now) const {
+  const auto overdueAfter =
       wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
-  Count out;
-  out.up = 1;
-  out.quiet = now - machine.contact.lastHeartbeatAt > overdue ? 1 : 0;
-  out.indirect = out.quiet != 0 || now - machine.contact.lastDirectContactAt > overdue ? 1 : 0;
-  out.heard = machine.sequence != 0 ? 1 : 0;
-  return out;
+  MachineCounts counts;
+  counts.up = 1;
+  counts.overdue = now - machine.contact.lastHeartbeatAt > overdueAfter ? 1 : 0;
+  counts.withoutDirectContact =
+      counts.overdue != 0 || now - machine.contact.lastDirectContactAt > overdueAfter ? 1 : 0;
+  counts.reported = machine.sequence != 0 ? 1 : 0;
+  return counts;
 }
 
-void PartitionDetector::trackSince(Time& begin, bool holds, Time now) {
+void PartitionDetector::updateBegin(Time& begin, bool holds, Time now) {
   if (!holds) {
     begin = Time{};
   } else if (begin == Time{}) {
@@ -44,50 +42,53 @@
 }
 
 void PartitionDetector::reset() {
-  zones_.clear();
-  doubtful_.clear();
+  partitionedZones_.clear();
+  suspectedZones_.clear();
   partitionedUntil_.clear();
   selfPartitioned_ = mostlyIndirect_ = false;
-  selfPartitionedSince_ = unreachedSince_ = unheardSince_ = Time{};
+  selfPartitionedSince_ = withoutDirectContactSince_ = withoutHeartbeatsSince_ = Time{};
 }
 
 void PartitionDetector::observe(const machines::MachineTable& machines, Time now) {
-  std::map<std::string, Count> zones;
-  Count all;
+  std::map<std::string, MachineCounts> countsByZone;
+  MachineCounts fleet;
   for (const auto& [host, machine] : machines.all()) {
     if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) continue;
-    const Count one = countOf(machine, now);
-    zones[machine.zone].add(one);
-    all.add(one);
+    const MachineCounts counts = countsOf(machine, now);
+    countsByZone[machine.zone].add(counts);
+    fleet.add(counts);
   }
-  observeZones(zones, now);
-  observeFleet(all, now);
+  observeZones(countsByZone, now);
+  observeFleet(fleet, now);
 }
 
-void PartitionDetector::observeZones(const std::map<std::string, Count>& zones, Time now) {
-  // A network partition makes all machines of a zone quiet within a heartbeat interval. The zone counts as
-  // partitioned for a while after that, since relay brings its machines back one by one.
+void PartitionDetector::observeZones(const std::map<std::string, MachineCounts>& countsByZone, Time now) {
+  // In a network partition, the heartbeats of all machines of a zone become overdue within one heartbeat
+  // interval. The zone still counts as partitioned for a while after that, because relays restore the contact
+  // with its machines one by one.
   const auto rememberFor =
       wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
-  doubtful_.clear();
-  for (const auto& [zone, count] : zones) {
-    if (suggestsPartition(count.quiet, count.up)) partitionedUntil_[zone] = now + rememberFor;
-    if (suggestsPartition(count.indirect, count.up)) doubtful_.insert(zone);
+  suspectedZones_.clear();
+  for (const auto& [zone, counts] : countsByZone) {
+    if (suggestsPartition(counts.overdue, counts.up)) partitionedUntil_[zone] = now + rememberFor;
+    if (suggestsPartition(counts.withoutDirectContact, counts.up)) suspectedZones_.insert(zone);
   }
   std::erase_if(partitionedUntil_, [now](const auto& entry) { return entry.second <= now; });
-  zones_.clear();
-  for (const auto& [zone, until] : partitionedUntil_) zones_.insert(zone);
+  partitionedZones_.clear();
+  for (const auto& [zone, until] : partitionedUntil_) partitionedZones_.insert(zone);
 }
 
-void PartitionDetector::observeFleet(const Count& all, Time now) {
-  selfPartitioned_ = nearlyAll(all.quiet, all.up);
-  // Machines never heard from in this term may as well be dead, and then the next leader would do no better.
-  const bool enough = all.up >= constants::kLeaderIsolationMinMachines;
-  const bool mostHeard = most(all.heard, all.up);
-  trackSince(selfPartitionedSince_, selfPartitioned_ && enough && mostHeard, now);
-  mostlyIndirect_ = nearlyAll(all.indirect, all.up) && all.quiet < all.indirect && enough && mostHeard;
-  trackSince(unreachedSince_, mostlyIndirect_ && all.indirect == all.up, now);
-  trackSince(unheardSince_, enough && hardlyAny(all.heard, all.up), now);
+void PartitionDetector::observeFleet(const MachineCounts& fleet, Time now) {
+  selfPartitioned_ = isOverThreeQuarters(fleet.overdue, fleet.up);
+  // Machines that have sent no heartbeat in this term can be dead, and then another leader would have no
+  // contact with them either.
+  const bool hasEnoughMachines = fleet.up >= constants::kLeaderIsolationMinMachines;
+  const bool mostReported = isOverHalf(fleet.reported, fleet.up);
+  updateBegin(selfPartitionedSince_, selfPartitioned_ && hasEnoughMachines && mostReported, now);
+  mostlyIndirect_ = isOverThreeQuarters(fleet.withoutDirectContact, fleet.up) &&
+                    fleet.overdue < fleet.withoutDirectContact && hasEnoughMachines && mostReported;
+  updateBegin(withoutDirectContactSince_, mostlyIndirect_ && fleet.withoutDirectContact == fleet.up, now);
+  updateBegin(withoutHeartbeatsSince_, hasEnoughMachines && isUnderTenth(fleet.reported, fleet.up), now);
 }
 
 }  // namespace reachhoist::service
--- a/src/service/partition_detector.hpp
+++ b/src/service/partition_detector.hpp
@@ -1,6 +1,6 @@
-// Network partition detection: which zones seem partitioned from this controller, and whether the controller
-// itself is partitioned from the fleet, inferred from machines whose heartbeats have stopped or arrive only
-// by way of sibling controllers.
+// Network partition detection. The detector infers which zones are partitioned from this controller, and
+// whether the controller itself is partitioned from the fleet. The evidence is machines whose heartbeats have
+// stopped or arrive only through sibling controllers.
 #pragma once
 
 #include <map>
@@ -11,60 +11,73 @@
 
 namespace reachhoist::service {
 
-// Detects network partitions of zones and of this controller from the machine table. Not thread-safe.
+// Detects network partitions of zones and of this controller from the machine table. It is not thread-safe.
 class PartitionDetector {
  public:
   using Time = wire::Time;
 
   explicit PartitionDetector(const config::Settings& settings) : settings_(settings) {}
 
-  // Updates the conclusions from the present state of all machines.
+  // Updates the conclusions from the current state of all machines.
   void observe(const machines::MachineTable& machines, Time now);
-  // Drops all conclusions: this process was not listening.
+  // Drops all conclusions, for a process that was suspended and received nothing meanwhile.
   void reset();
 
-  // Zones that count as partitioned: most of their machines are quiet, or were a short time ago.
-  const std::set<std::string>& zones() const { return zones_; }
-  bool isPartitioned(const std::string& zone) const { return zones_.contains(zone); }
-  // Most machines of the zone are quiet or heard through siblings only: the others may soon be as well.
-  bool isSuspected(const std::string& zone) const { return isPartitioned(zone) || doubtful_.contains(zone); }
-  // Nearly all machines are quiet, wherever they are: it is this controller that is partitioned.
+  // Returns the zones that count as partitioned: more than half of their machines have an overdue heartbeat,
+  // or had one a short time ago.
+  const std::set<std::string>& zones() const { return partitionedZones_; }
+  bool isPartitioned(const std::string& zone) const { return partitionedZones_.contains(zone); }
+  // Returns whether the zone is partitioned, or more than half of its machines are without direct contact.
+  // The heartbeats of the other machines can stop soon in either case.
+  bool isSuspected(const std::string& zone) const {
+    return isPartitioned(zone) || suspectedZones_.contains(zone);
+  }
+  // Returns whether more than three quarters of all machines, in whatever zone, have an overdue heartbeat.
+  // Then this controller is the one that is partitioned.
   bool isSelfPartitioned() const { return selfPartitioned_; }
-  // For how long that has been so with machines that had been heard from; zero if it is not so.
-  wire::Duration selfPartitionedFor(Time now) const { return since(selfPartitionedSince_, now); }
-  // Nearly all machines are quiet or heard through siblings.
+  // Returns for how long isSelfPartitioned() has held while more than half of the machines have sent a
+  // heartbeat in this term; zero if that does not hold.
+  wire::Duration selfPartitionedFor(Time now) const { return elapsedSince(selfPartitionedSince_, now); }
+  // Returns whether more than three quarters of all machines are without direct contact, some of them with
+  // heartbeats through siblings, in a fleet that is large enough to judge by.
   bool isMostlyIndirect() const { return mostlyIndirect_; }
-  // For how long no machine has been heard or reached directly, while siblings hear some.
-  wire::Duration withoutDirectContactFor(Time now) const { return since(unreachedSince_, now); }
-  // For how long hardly any machine has been heard from at all, though many should be there.
-  wire::Duration withoutHeartbeatsFor(Time now) const { return since(unheardSince_, now); }
+  // Returns for how long this controller has had direct contact with no machine while siblings relay the
+  // heartbeats of some; zero if that does not hold.
+  wire::Duration withoutDirectContactFor(Time now) const {
+    return elapsedSince(withoutDirectContactSince_, now);
+  }
+  // Returns for how long fewer than a tenth of the machines have sent any heartbeat in this term although the
+  // fleet is large enough to judge by; zero if that does not hold.
+  wire::Duration withoutHeartbeatsFor(Time now) const { return elapsedSince(withoutHeartbeatsSince_, now); }
 
  private:
-  struct Count {
-    int up = 0;        // machines that are up or draining
-    int quiet = 0;     // whose heartbeat is overdue
-    int indirect = 0;  // quiet, or heard through siblings only
-    int heard = 0;     // heard from in this term
-    void add(const Count& other);
+  // Machines by the recency of their contact with this controller.
+  struct MachineCounts {
+    int up = 0;                    // machines that are up or draining
+    int overdue = 0;               // those whose heartbeat is overdue
+    int withoutDirectContact = 0;  // those that are overdue, or in contact through siblings only
+    int reported = 0;              // those that have sent a heartbeat in this term
+    void add(const MachineCounts& other);
   };
-  Count countOf(const machines::Machine& machine, Time now) const;
-  static wire::Duration since(Time begin, Time now) {
+  MachineCounts countsOf(const machines::Machine& machine, Time now) const;
+  static wire::Duration elapsedSince(Time begin, Time now) {
     return begin == Time{} ? wire::Duration{0} : now - begin;
   }
-  // Keeps the time since which a condition holds; unset while it does not.
-  static void trackSince(Time& begin, bool holds, Time now);
-  void observeZones(const std::map<std::string, Count>& zones, Time now);
-  void observeFleet(const Count& all, Time now);
+  // Sets `begin` to the time since which a condition has held, and unsets it when the condition does not
+  // hold.
+  static void updateBegin(Time& begin, bool holds, Time now);
+  void observeZones(const std::map<std::string, MachineCounts>& countsByZone, Time now);
+  void observeFleet(const MachineCounts& fleet, Time now);
 
   const config::Settings& settings_;
-  std::set<std::string> zones_;
-  std::set<std::string> doubtful_;
+  std::set<std::string> partitionedZones_;
+  std::set<std::string> suspectedZones_;
   std::map<std::string, Time> partitionedUntil_;  // by zone
   bool selfPartitioned_ = false;
   bool mostlyIndirect_ = false;
   Time selfPartitionedSince_{};
-  Time unreachedSince_{};
-  Time unheardSince_{};
+  Time withoutDirectContactSince_{};
+  Time withoutHeartbeatsSince_{};
 };
 
 }  // namespace reachhoist::service
--- a/src/service/request_router.cpp
+++ b/src/service/request_router.cpp
@@ -18,7 +18,7 @@
   return {endpoint, std::string(jobRef)};
 }
 
-// path: what follows kJobPrefix; not empty.
+// `path` is the part of the target after kJobPrefix; it is not empty.
 Route routeJob(std::string_view method, std::string_view path) {
   if (path.ends_with(kAbortSuffix)) {
     path.remove_suffix(kAbortSuffix.size());
--- a/src/service/request_router.hpp
+++ b/src/service/request_router.hpp
@@ -1,4 +1,4 @@
-// Maps the method and target of an HTTP request to the endpoint that serves it.
+// Maps the method and the target of an HTTP request to the endpoint that serves it.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace reachhoist::service {
 
-// The endpoints of a controller, and the two ways in which a request can match none.
+// The endpoints of a controller, and the two cases in which a request matches none.
 enum class Endpoint {
   healthCheck,
   workerHeartbeat,
@@ -20,10 +20,10 @@
 // A request target after routing.
 struct Route {
   Endpoint endpoint = Endpoint::notFound;
-  std::string jobRef;  // for queryJob and abortJob, as it stands in the path; not validated
+  std::string jobRef;  // for queryJob and abortJob; taken from the path and not validated
 };
 
-// Routes a request; a query string in the target is ignored.
+// Returns the route of a request. A query string in the target is ignored.
 Route routeRequest(std::string_view method, std::string_view target);
 
 }  // namespace reachhoist::service
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -81,7 +81,7 @@
 void Runtime::performActions() {
   Actions actions = controller_.drain();
   for (const Reply& reply : actions.replies) sendReply(reply);
-  for (const OutgoingPeerMessage& send : actions.peerMessages) sendToSibling(send);
+  for (const OutgoingPeerMessage& outgoing : actions.peerMessages) sendToSibling(outgoing);
   for (wire::Call& call : actions.calls) net::spawn(executeCall(std::move(call)));
 }
 
@@ -90,9 +90,9 @@
   server_.respond(reply.request, net::HttpResponse{reply.status, std::move(body), reply.retryAfterS});
 }
 
-void Runtime::sendToSibling(const OutgoingPeerMessage& send) {
-  const auto link = siblingLinks_.find(send.to);
-  if (link != siblingLinks_.end()) link->second->send(peer::encode(send.message));
+void Runtime::sendToSibling(const OutgoingPeerMessage& outgoing) {
+  const auto link = siblingLinks_.find(outgoing.to);
+  if (link != siblingLinks_.end()) link->second->send(peer::encode(outgoing.message));
 }
 
 net::Task<void> Runtime::executeCall(wire::Call call) {
--- a/src/service/runtime.hpp
+++ b/src/service/runtime.hpp
@@ -1,4 +1,4 @@
-// Runs a controller on sockets and clocks: feeds it events and carries out its actions.
+// Runs a controller on sockets and clocks. The runtime passes events to it and carries out its actions.
 #pragma once
 
 #include <map>
@@ -12,15 +12,15 @@
 
 namespace reachhoist::service {
 
-// The controller with its event loop, HTTP server and client, and the links with its siblings. All of it runs
-// in the thread that calls run().
+// A controller with its event loop, HTTP server and client, and the links to its siblings. All of it runs in
+// the thread that calls run().
 class Runtime {
  public:
-  // settings: must outlive the runtime. sink: takes log lines up to `level`.
+  // `settings` must outlive the runtime. `sink` receives the log lines up to `level`.
   Runtime(const config::Settings& settings, Level level, Context::LogSink sink);
   Runtime(const Runtime&) = delete;
 
-  // Listens and serves. Returns only when it can't start, with the setting that is at fault.
+  // Listens and serves. It returns only if it cannot start, with the invalid setting.
   config::FieldError run();
 
  private:
@@ -30,10 +30,10 @@
   net::Task<void> executeCall(wire::Call call);
   void onRequest(std::uint64_t number, net::HttpMessage request);
   void onFrame(const std::string& frame);
-  // Carries out what the controller asks for; to be called after each event.
+  // Carries out the controller's queued actions. It must be called after each event.
   void performActions();
   void sendReply(const Reply& reply);
-  void sendToSibling(const OutgoingPeerMessage& send);
+  void sendToSibling(const OutgoingPeerMessage& outgoing);
 
   const config::Settings& settings_;
   net::Reactor reactor_;
--- a/src/service/share_table_follower.cpp
+++ b/src/service/share_table_follower.cpp
@@ -9,13 +9,14 @@
     : context_(context),
       watch_(context.state, shares::kTableKey,
              [this](const Json* value, std::uint64_t revision) { onRecord(value, revision); }) {
-  // Checked already when the settings were read; should it fail here, the stored table still counts.
-  if (const auto problem = shares::fromOperators(context_.settings, configured_)) refuse(*problem);
+  // The settings were already checked when they were read. If the check fails here nevertheless, the stored
+  // table remains usable.
+  if (const auto problem = shares::fromOperators(context_.settings, configuredTable_)) refuse(*problem);
 }
 
-void ShareTableFollower::tick(bool leads) {
+void ShareTableFollower::tick(bool isLeading) {
   watch_.tick(context_.now);
-  if (leads) writeConfigured();
+  if (isLeading) writeConfiguredTable();
 }
 
 void ShareTableFollower::refuse(const config::FieldError& problem) {
@@ -26,16 +27,16 @@
 }
 
 void ShareTableFollower::onRecord(const Json* value, std::uint64_t revision) {
-  revision_ = revision;
+  storedRevision_ = revision;
   if (value == nullptr) {
     storedGeneration_ = 0;
     if (context_.shares)
-      configured_ = *context_.shares;  // it was deleted: the table in force is stored again
+      configuredTable_ = *context_.shares;  // a deleted record is replaced by the table in force
     return;
   }
   shares::Table table;
   auto problem = shares::decode(*value, table);
-  // A malformed record is not overwritten: an operator has to look at it.
+  // A malformed record is not overwritten, because an operator has to examine it.
   if (problem) {
     storedGeneration_ = std::numeric_limits<std::uint64_t>::max();
     return refuse(*problem);
@@ -50,18 +51,18 @@
   context_.shares = std::move(table);
 }
 
-void ShareTableFollower::writeConfigured() {
-  if (!storedGeneration_ || *storedGeneration_ >= configured_.generation || writing_ ||
+void ShareTableFollower::writeConfiguredTable() {
+  if (!storedGeneration_ || *storedGeneration_ >= configuredTable_.generation || writeInFlight_ ||
       context_.now < retryAt_)
     return;
   retryAt_ = context_.now + constants::kShareWriteRetryInterval;
-  writing_ = true;
+  writeInFlight_ = true;
   state::Transaction transaction;
-  transaction.conditions.push_back({shares::kTableKey, revision_});
-  transaction.writes.push_back({shares::kTableKey, shares::encode(configured_), std::nullopt});
-  // The watch shows whether it was applied.
+  transaction.conditions.push_back({shares::kTableKey, storedRevision_});
+  transaction.writes.push_back({shares::kTableKey, shares::encode(configuredTable_), std::nullopt});
+  // The result is not needed, because the watch reports an applied write.
   context_.state.transact(context_.now, state::Urgency::background, transaction,
-                          guard_.wrap([this](const wire::CallResult&) { writing_ = false; }));
+                          guard_.wrap([this](const wire::CallResult&) { writeInFlight_ = false; }));
 }
 
 }  // namespace reachhoist::service
--- a/src/service/share_table_follower.hpp
+++ b/src/service/share_table_follower.hpp
@@ -1,4 +1,5 @@
-// The share table on a controller: every controller follows the stored record, the leader writes it first.
+// The share table on a controller. Every controller follows the stored record; the leader writes the first
+// one from the operators' file.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +12,28 @@
 
 namespace reachhoist::service {
 
-// Keeps Context::shares up to date with the stored share table. The last valid table stays in force whatever
-// is stored after it.
+// Keeps Context::shares up to date with the stored share table. If an invalid record is stored, the last
+// valid table stays in force.
 class ShareTableFollower {
  public:
   explicit ShareTableFollower(Context& context);
-  // Begins to watch the stored record; call once.
+  // Begins to watch the stored record. It must be called once.
   void start() { watch_.start(context_.now); }
-  // To be called every constants::kTickInterval. A leader writes the table of the operators' file if none or
-  // an older one is stored.
-  void tick(bool leads);
+  // Drives the watch and, on the leader, writes the table of the operators' file if no table or an older one
+  // is stored. It must be called every constants::kTickInterval.
+  void tick(bool isLeading);
 
  private:
   void onRecord(const Json* value, std::uint64_t revision);
   void refuse(const config::FieldError& problem);
-  void writeConfigured();
+  void writeConfiguredTable();
 
   Context& context_;
-  shares::Table configured_;  // from the operators' file
+  shares::Table configuredTable_;  // from the operators' file
   state::KeyWatch watch_;
-  std::optional<std::uint64_t> storedGeneration_;  // 0: none is stored; unset: not known yet
-  std::uint64_t revision_ = 0;                     // of the stored record
-  bool writing_ = false;
+  std::optional<std::uint64_t> storedGeneration_;  // 0 if none is stored; unset until it is read
+  std::uint64_t storedRevision_ = 0;               // mod revision of the stored record
+  bool writeInFlight_ = false;
   Time retryAt_{};
   state::CallbackGuard guard_;
 };
--- a/src/service/sibling_monitor.cpp
+++ b/src/service/sibling_monitor.cpp
@@ -16,14 +16,15 @@
 }
 
 void SiblingMonitor::onResumed(wire::Duration suspendedFor) {
-  for (auto& [label, last] : lastHeartbeats_) last.at += suspendedFor;
+  for (auto& [label, last] : lastHeartbeats_) last.receivedAt += suspendedFor;
   context_.lastSiblingHeartbeatAt += suspendedFor;
   context_.lastConfirmedSiblingHeartbeatAt += suspendedFor;
 }
 
-bool SiblingMonitor::reachable(const std::string& label) const {
+bool SiblingMonitor::isReachable(const std::string& label) const {
   const auto last = lastHeartbeats_.find(label);
-  return last != lastHeartbeats_.end() && context_.now - last->second.at < constants::kPeerHeartbeatTimeout;
+  return last != lastHeartbeats_.end() &&
+         context_.now - last->second.receivedAt < constants::kPeerHeartbeatTimeout;
 }
 
 bool SiblingMonitor::isIsolated(Time storeConfirmedAt) const {
@@ -32,8 +33,8 @@
     return false;
   bool noneReachable = true;
   for (const auto& [label, last] : lastHeartbeats_) {
-    if (context_.now - last.at > constants::kPeerHeartbeatTimeout) continue;
-    if (last.confirmed) return true;
+    if (context_.now - last.receivedAt > constants::kPeerHeartbeatTimeout) continue;
+    if (last.storeConfirmed) return true;
     noneReachable = false;
   }
   return noneReachable;
--- a/src/service/sibling_monitor.hpp
+++ b/src/service/sibling_monitor.hpp
@@ -1,5 +1,5 @@
-// Failure detection among controllers: which siblings were heard lately, which of them reach the key-value
-// store, and which one leads.
+// Failure detection among controllers. The monitor tracks which siblings have sent a heartbeat recently,
+// which of them reach the key-value store, and which one leads.
 #pragma once
 
 #include <map>
@@ -10,35 +10,39 @@
 
 namespace reachhoist::service {
 
-// Keeps the latest heartbeat of each sibling. Nothing here is a lease or a lock: authority comes from the
+// Keeps the latest heartbeat of each sibling. None of this is a lease or a lock: leadership is decided in the
 // key-value store alone.
 class SiblingMonitor {
  public:
   SiblingMonitor(Context& context, const cluster::Leadership& leadership);
 
-  // Takes a sibling's heartbeat; true if it announces a leader of a later term than any announced before.
+  // Records a sibling's heartbeat. Returns whether the sibling leads under a later term than any term that a
+  // sibling has announced before.
   bool onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat);
-  // The process was suspended for so long. Nothing was heard meanwhile, which says nothing about siblings.
+  // Shifts the times of all heartbeats by the length of a suspension of this process. It could receive no
+  // heartbeat meanwhile, so their absence is no evidence of failed siblings.
   void onResumed(wire::Duration suspendedFor);
-  // Whether the link to the sibling is up: its last heartbeat is not older than heartbeats may be.
-  bool reachable(const std::string& label) const;
-  // Whether this controller is cut off from the key-value store, which it last reached at `storeConfirmedAt`,
-  // and either some sibling reaches it or no sibling is reachable. Users are better served elsewhere then.
+  // Returns whether the sibling's last heartbeat is recent, so that its link counts as up.
+  bool isReachable(const std::string& label) const;
+  // Returns whether this controller, which last reached the key-value store at `storeConfirmedAt`, is
+  // isolated from the store while some sibling reaches it or no sibling is reachable. Another controller can
+  // then serve users better.
   bool isIsolated(Time storeConfirmedAt) const;
-  // Label of the leader by the latest of what the key-value store and siblings say; empty: not known.
+  // Returns the label of the leader with the highest term, from the key-value store or from siblings; empty
+  // if no leader is known.
   const std::string& leader() const;
 
  private:
   struct LastHeartbeat {
-    Time at{};
-    bool confirmed = false;  // the sibling reached the key-value store
+    Time receivedAt{};
+    bool storeConfirmed = false;  // whether the sibling reached the key-value store
   };
 
   Context& context_;
   const cluster::Leadership& leadership_;
   std::map<std::string, LastHeartbeat> lastHeartbeats_;  // by the sibling's label
-  std::uint64_t announcedTerm_ = 0;                      // highest term that a sibling said it leads under
-  std::string announcedLeader_;                          // label of that sibling
+  std::uint64_t announcedTerm_ = 0;  // highest term under which a sibling has announced that it leads
+  std::string announcedLeader_;      // label of that sibling
 };
 
 }  // namespace reachhoist::service
--- a/src/service/submission_queue.cpp
+++ b/src/service/submission_queue.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-constexpr int kMaxInFlight = 3;  // transactions; jobs that come while these are in flight share the next one
-constexpr std::size_t kMaxBatchBytes = 48 * 1024;  // of one transaction, which may hold 64 KiB
-// Users wait 2 s for an answer.
+// Jobs that arrive while this many transactions are in flight share the next one.
+constexpr int kMaxTransactionsInFlight = 3;
+constexpr std::size_t kMaxBatchBytes = 48 * 1024;  // a transaction can hold 64 KiB
+// The users' timeout is 2 s.
 constexpr std::chrono::milliseconds kSubmissionTimeout{1500};
 
 }  // namespace
@@ -40,16 +41,16 @@
 // --- sending -----------------------------------------------------------------------------------------------
 
 void SubmissionQueue::send() {
-  while (!queue_.empty() && inFlight_ < kMaxInFlight && context_.now >= resumeAt_) {
+  while (!queue_.empty() && transactionsInFlight_ < kMaxTransactionsInFlight && context_.now >= resumeAt_) {
     Batch batch = nextBatch();
     if (batch.jobs.empty()) return;
-    ++inFlight_;
-    auto done = [this, jobs = std::move(batch.jobs)](const wire::CallResult& result) {
-      --inFlight_;
+    ++transactionsInFlight_;
+    auto onDone = [this, jobs = std::move(batch.jobs)](const wire::CallResult& result) {
+      --transactionsInFlight_;
       onResult(jobs, result);
       send();
     };
-    context_.state.transact(context_.now, state::Urgency::acceptance, batch.transaction, std::move(done));
+    context_.state.transact(context_.now, state::Urgency::acceptance, batch.transaction, std::move(onDone));
   }
 }
 
@@ -59,9 +60,9 @@
     const std::string ref = queue_.front();
     const auto found = submissions_.find(ref);
     if (found != submissions_.end() && mustRaiseLayout(found->second, batch) && !addLayoutRaise(batch)) {
-      // The gang goes into the next batch, which has space for the layout.
+      // The gang goes into the next batch, which has space for the layout write.
       if (!batch.transaction.writes.empty()) break;
-      // No term is known yet.
+      // No term is known yet, so the layout cannot be raised.
       queue_.pop_front();
       giveUp(ref);
       continue;
@@ -74,7 +75,7 @@
 
 bool SubmissionQueue::hasSpace(const Batch& batch) const {
   return batch.transaction.writes.size() < context_.settings.stateLimits.opsPerTransaction &&
-         batch.bytes < kMaxBatchBytes;
+         batch.recordBytes < kMaxBatchBytes;
 }
 
 bool SubmissionQueue::mustRaiseLayout(const Submission& submission, const Batch& batch) const {
@@ -83,7 +84,7 @@
 
 bool SubmissionQueue::addLayoutRaise(Batch& batch) const {
   constexpr std::size_t kWritesWithGang = 2;  // the layout and the gang itself
-  const auto layout = leadership_.raiseLayout();
+  const auto layout = leadership_.layoutRaisingWrite();
   if (!layout ||
       batch.transaction.writes.size() + kWritesWithGang > context_.settings.stateLimits.opsPerTransaction)
     return false;
@@ -98,8 +99,8 @@
   job.spec = submission.spec;
   job.acceptedAtMs = context_.wallClockMs;
   Json record = jobs::encodeOpen(job);
-  batch.bytes += record.dump().size();
-  // Revision 0: the job must not exist yet.
+  batch.recordBytes += record.dump().size();
+  // Revision 0 requires that the job does not exist yet.
   batch.transaction.conditions.push_back({jobs::jobKey(ref), 0});
   batch.transaction.writes.push_back({jobs::jobKey(ref), record, std::nullopt});
   batch.jobs.push_back(JobRecord{ref, std::move(record)});
@@ -111,8 +112,8 @@
   if (result.ok()) return onAccepted(batch, result);
   if (result.status == http::kConflict) return onConflict(batch, result);
   if (result.status == http::kTooManyRequests) return onRateLimited(batch);
-  // The write was refused, or its outcome is unknown. The user repeats the request, and the condition on the
-  // job's key makes that idempotent.
+  // The store refused the write, or the outcome is unknown. The user repeats the request, and the condition
+  // on the job's key makes the retry idempotent.
   for (const JobRecord& job : batch) giveUp(job.ref);
 }
 
@@ -131,12 +132,13 @@
 }
 
 void SubmissionQueue::onConflict(const std::vector<JobRecord>& batch, const wire::CallResult& result) {
-  // Some jobs were accepted before, perhaps by another controller; the others are sent again without them.
+  // Some jobs of the batch have already been accepted, possibly by another controller. The others are sent
+  // again without them.
   const std::vector<std::string> failedKeys = state::failedConditions(result);
   const auto conditionFailed = [&failedKeys](const std::string& key) {
     return std::find(failedKeys.begin(), failedKeys.end(), key) != failedKeys.end();
   };
-  // The term's record has changed: the feed brings its new revision within moments.
+  // The term's record has changed, and its feed delivers the new revision shortly.
   if (conditionFailed(cluster::kTermKey)) resumeAt_ = context_.now + constants::kTickInterval;
   for (const JobRecord& job : batch) {
     if (conditionFailed(jobs::jobKey(job.ref))) {
--- a/src/service/submission_queue.hpp
+++ b/src/service/submission_queue.hpp
@@ -1,5 +1,5 @@
-// Durable acceptance of submitted jobs: batches them into compare-and-swap transactions on the key-value
-// store.
+// Durable acceptance of submitted jobs. The queue batches them into compare-and-swap transactions on the
+// key-value store.
 #pragma once
 
 #include <deque>
@@ -15,23 +15,24 @@
 
 namespace reachhoist::service {
 
-// Called for each job that this controller itself has accepted or ended, after its user has been answered.
+// Called for each job that this controller itself has accepted or ended, after the reply to its user is
+// queued.
 using OnJobChange = std::function<void(jobs::JobTable::Change, const std::string& ref)>;
 
-// Admitted jobs wait here until their record is written. Jobs that come while transactions are in flight
+// Holds admitted jobs until their records are written. Jobs that arrive while transactions are in flight
 // share the next one.
 class SubmissionQueue {
  public:
-  // leadership: tells how the first gang raises the record layout, so that versions that can't read gangs no
-  // longer lead.
+  // `leadership` provides the write by which the first gang raises the record layout, so that versions that
+  // cannot read gangs no longer lead.
   SubmissionQueue(Context& context, state::Feed& feed, jobs::JobTable& jobs,
                   const cluster::Leadership& leadership, OnJobChange onJobChange);
   SubmissionQueue(const SubmissionQueue&) = delete;
 
-  // Queues a job, or adds the request to those that submitted the same job before. Each is answered 201 once
-  // the record is written, 200 if another controller accepted the job first, or 503.
+  // Queues a job, or adds the request to earlier requests for the same job. Each request is answered with 201
+  // after the record is written, with 200 if another controller accepted the job first, or with 503.
   void add(std::uint64_t request, const std::string& ref, const wire::JobSpec& spec);
-  // Sends as many transactions as may be in flight; call on each tick.
+  // Sends queued jobs, up to the limit of transactions in flight. It must be called on each tick.
   void send();
 
  private:
@@ -40,7 +41,7 @@
     std::vector<std::uint64_t> requests;
     Time deadline{};
   };
-  // A job of a batch with the record that is written for it.
+  // A job of a batch and the record that is written for it.
   struct JobRecord {
     std::string ref;
     Json record;
@@ -48,7 +49,7 @@
   struct Batch {
     state::Transaction transaction;
     std::vector<JobRecord> jobs;
-    std::size_t bytes = 0;  // of the records in JSON form
+    std::size_t recordBytes = 0;  // size of the records in JSON form
     bool raisesLayout = false;
   };
 
@@ -63,6 +64,7 @@
   void onConflict(const std::vector<JobRecord>& batch, const wire::CallResult& result);
   void onRateLimited(const std::vector<JobRecord>& batch);
   void answerFromExisting(const std::string& ref);
+  // Drops the job and replies to its requests that the user should try again.
   void giveUp(const std::string& ref);
 
   Context& context_;
@@ -71,9 +73,9 @@
   const cluster::Leadership& leadership_;
   OnJobChange onJobChange_;
   std::map<std::string, Submission> submissions_;  // queued or in flight, by job reference
-  std::deque<std::string> queue_;                  // job references, not in flight
-  int inFlight_ = 0;                               // transactions
-  Time resumeAt_{};                                // nothing is sent before
+  std::deque<std::string> queue_;                  // references of the jobs that are not in flight
+  int transactionsInFlight_ = 0;
+  Time resumeAt_{};  // no transaction is sent before this time
 };
 
 }  // namespace reachhoist::service
