--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -6,9 +6,8 @@
 namespace reachhoist::cluster {
 
 namespace {
-constexpr const char* kPrefix = "leader";
+constexpr const char* kKeyPrefix = "leader";
 constexpr const char* kLeaderKey = "leader";
-
 }  // namespace
 
 Leadership::Leadership(state::Client& client, const config::Settings& settings, std::uint64_t seed,
@@ -16,7 +15,7 @@
     : client_(client),
       settings_(settings),
       handlers_(std::move(handlers)),
-      feed_(client, kPrefix, state::Urgency::lease, constants::kLeadershipConfirmInterval,
+      feed_(client, kKeyPrefix, state::Urgency::lease, constants::kLeadershipConfirmInterval,
             {[this](const auto& key, const Json* value, std::uint64_t revision) {
                onEntry(key, value, revision);
              },
@@ -25,7 +24,7 @@
                leaderRevision_ = 0;
              },
              [this] { onCaughtUp(); }}),
-      jitter_(seed),
+      jitterRandom_(seed),
       partitionCount_(std::max(settings.initialPartitions, 1U)) {}
 
 void Leadership::start(Time now) {
@@ -37,33 +36,33 @@
   now_ = now;
   feed_.tick(now);
   if (state_ == State::waiting && now >= nextAttemptAt_) {
-    if (anotherLeads()) {
-      // Another controller has won during our own attempt. The next attempt would be conditioned on its
-      // revisions, and so would depose it.
-      to(State::observing);
+    if (hasOtherLeader()) {
+      // Another controller was elected during this controller's attempt. The next attempt would be
+      // conditioned on that election's revisions and so depose the new leader.
+      transitionTo(State::observing);
     } else if (leaseId_ != 0) {
       campaign();
     } else {
       requestLease();
     }
   }
-  if (state_ == State::taking && !acquireInFlight_ && now >= retryAcquireAt_) acquirePartitions();
-  if ((state_ == State::leading || state_ == State::taking) && !renewInFlight_ && now >= nextRenewAt_)
+  if (state_ == State::acquiring && !acquireInFlight_ && now >= retryAcquireAt_) acquirePartitions();
+  if ((state_ == State::leading || state_ == State::acquiring) && !renewInFlight_ && now >= nextRenewAt_)
     renew();
 }
 
-std::optional<ConditionalWrite> Leadership::raiseLayout() const {
+std::optional<ConditionalWrite> Leadership::layoutRaisingWrite() const {
   if (layoutRaised() || termRevision_ == 0 || term_ == 0) return std::nullopt;
-  return ConditionalWrite{{kTermKey, termRevision_}, writeTerm(term_, constants::kRecordLayoutWithGangs)};
+  return ConditionalWrite{{kTermKey, termRevision_}, termWrite(term_, constants::kRecordLayoutWithGangs)};
 }
 
-bool Leadership::anotherLeads() const { return !leader_.empty() && leader_ != settings_.label; }
+bool Leadership::hasOtherLeader() const { return !leader_.empty() && leader_ != settings_.label; }
 
-state::Write Leadership::writeTerm(std::uint64_t term, std::uint64_t layout) const {
+state::Write Leadership::termWrite(std::uint64_t term, std::uint64_t layout) const {
   return {kTermKey, Json{{"term", term}, {"parts", partitionCount_}, {"layout", layout}}, std::nullopt};
 }
 
-state::Write Leadership::writePartition(PartitionId partition, std::uint64_t term) const {
+state::Write Leadership::partitionWrite(PartitionId partition, std::uint64_t term) const {
   return {partitionKey(partition), Json{{"owner", settings_.label}, {"term", term}}, std::nullopt};
 }
 
@@ -74,7 +73,7 @@
   } else if (key == kTermKey && value != nullptr) {
     termRevision_ = revision;
     const auto term = wire::countField(*value, "term").value_or(0);
-    if (state_ != State::leading && state_ != State::taking) term_ = std::max(term_, term);
+    if (state_ != State::leading && state_ != State::acquiring) term_ = std::max(term_, term);
     if (const auto count = wire::countField(*value, "parts"); count && *count > 0)
       partitionCount_ = static_cast<unsigned>(*count);
     checkLayout(wire::countField(*value, "layout").value_or(1));
@@ -84,58 +83,59 @@
 void Leadership::checkLayout(std::uint64_t layout) {
   if (layout == constants::kRecordLayout || layout == constants::kRecordLayoutWithGangs) {
     layout_ = std::max(layout_, layout);
-    if (state_ == State::refusing) to(State::observing);
+    if (state_ == State::refusing) transitionTo(State::observing);
     return;
   }
-  // Records of an earlier layout would be misread, and a task that they place might be started twice.
+  // Records of another layout would be misread, and a task that they place could be started twice.
   if (state_ == State::refusing) return;
-  if (state_ == State::taking) abandonTaking();
+  if (state_ == State::acquiring) abandonAcquisition();
   resign("another layout");
-  to(State::refusing);
-  handlers_.refused(layout);
+  transitionTo(State::refusing);
+  handlers_.layoutUnsupported(layout);
 }
 
 void Leadership::onCaughtUp() {
   if (state_ == State::refusing) return;
   if (state_ == State::leading) {
-    // The feed may be older than our own election, so only newer revisions count.
-    if (leaderRevision_ > ownRevision_ && leader_ != settings_.label) depose("another controller leads");
+    // The feed can lag behind this controller's own election, so only newer revisions count.
+    if (leaderRevision_ > ownLeaderRevision_ && leader_ != settings_.label)
+      depose("another controller leads");
     return;
   }
-  if (state_ == State::taking && leaderRevision_ > ownRevision_ && leader_ != settings_.label) {
+  if (state_ == State::acquiring && leaderRevision_ > ownLeaderRevision_ && leader_ != settings_.label) {
     leaseId_ = 0;
-    return abandonTaking();
+    return abandonAcquisition();
   }
   if (state_ == State::observing && (leader_.empty() || leader_ == settings_.label)) {
-    // Our own name is left from an earlier run of this controller: no need to wait for its lease to expire.
-    pause();
-  } else if (state_ == State::waiting && anotherLeads()) {
-    to(State::observing);
+    // This controller's own label remains from an earlier run, so it need not wait for that lease to expire.
+    scheduleAttempt();
+  } else if (state_ == State::waiting && hasOtherLeader()) {
+    transitionTo(State::observing);
   }
 }
 
-void Leadership::pause() {
-  std::uniform_int_distribution<long> spread(0, constants::kElectionJitter.count());
-  const bool urgent = nextAttemptAt_ == Time{} || now_ >= nextAttemptAt_;
-  nextAttemptAt_ = now_ + std::chrono::milliseconds(spread(jitter_)) +
-                   (urgent ? std::chrono::milliseconds(0) : constants::kElectionRetryInterval);
-  to(State::waiting);
+void Leadership::scheduleAttempt() {
+  std::uniform_int_distribution<long> jitterMs(0, constants::kElectionJitter.count());
+  const bool retryIntervalPassed = nextAttemptAt_ == Time{} || now_ >= nextAttemptAt_;
+  nextAttemptAt_ = now_ + std::chrono::milliseconds(jitterMs(jitterRandom_)) +
+                   (retryIntervalPassed ? std::chrono::milliseconds(0) : constants::kElectionRetryInterval);
+  transitionTo(State::waiting);
 }
 
 void Leadership::retryElection() {
   nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
-  to(State::waiting);
+  transitionTo(State::waiting);
 }
 
 void Leadership::requestLease() {
-  to(State::leasing);
+  transitionTo(State::leasing);
   client_.grantLease(now_, constants::kLeaderLeaseTtl, [this](const wire::CallResult& result) {
     if (state_ != State::leasing) return;
-    const auto leaseId = state::grantedLease(result);
+    const auto leaseId = state::grantedLeaseId(result);
     if (!leaseId) return retryElection();
     leaseId_ = *leaseId;
-    if (anotherLeads()) {
-      to(State::observing);
+    if (hasOtherLeader()) {
+      transitionTo(State::observing);
     } else {
       campaign();
     }
@@ -143,65 +143,67 @@
 }
 
 void Leadership::campaign() {
-  to(State::campaigning);
+  transitionTo(State::campaigning);
   const std::uint64_t term = term_ + 1;
-  const Time sent = now_;
+  const Time sentAt = now_;
   state::Transaction transaction;
   transaction.conditions = {{kLeaderKey, leaderRevision_}, {kTermKey, termRevision_}};
   transaction.writes.push_back({kLeaderKey, Json{{"label", settings_.label}, {"term", term}}, leaseId_});
-  transaction.writes.push_back(writeTerm(term, layout_));
-  const bool fitsAll = partitionCount_ + transaction.writes.size() <= settings_.stateLimits.opsPerTransaction;
-  const PartitionId included = fitsAll ? partitionCount_ : 0;
-  for (PartitionId partition = 0; partition < included; ++partition)
-    transaction.writes.push_back(writePartition(partition, term));
+  transaction.writes.push_back(termWrite(term, layout_));
+  const bool allPartitionsFit =
+      partitionCount_ + transaction.writes.size() <= settings_.stateLimits.opsPerTransaction;
+  const PartitionId includedPartitions = allPartitionsFit ? partitionCount_ : 0;
+  for (PartitionId partition = 0; partition < includedPartitions; ++partition)
+    transaction.writes.push_back(partitionWrite(partition, term));
   client_.transact(now_, state::Urgency::lease, transaction,
-                   [this, term, sent, included](const auto& result) {
-                     if (state_ == State::campaigning) onCampaignAnswer(result, term, sent, included);
+                   [this, term, sentAt, includedPartitions](const auto& result) {
+                     if (state_ == State::campaigning)
+                       onCampaignAnswer(result, term, sentAt, includedPartitions);
                    });
 }
 
-void Leadership::onCampaignAnswer(const wire::CallResult& result, std::uint64_t term, Time sent,
-                                  PartitionId included) {
+void Leadership::onCampaignAnswer(const wire::CallResult& result, std::uint64_t term, Time sentAt,
+                                  PartitionId includedPartitions) {
   if (!result.ok()) {
-    // The lease may have expired during the pause. The transaction respects every limit, so a bad request can
-    // only be due to the lease. If no answer came, the feed tells who leads.
+    // The lease can have expired while this controller waited. The transaction respects every limit, so only
+    // an expired lease can cause a bad request. If no answer came, the feed shows which controller leads.
     if (result.status == http::kBadRequest) leaseId_ = 0;
     return retryElection();
   }
-  ownRevision_ = state::appliedRevision(result);
+  ownLeaderRevision_ = state::appliedRevision(result);
   term_ = term;
   leader_ = settings_.label;
-  leaderRevision_ = ownRevision_;
-  termRevision_ = ownRevision_;
-  confirmedAt_ = sent;
+  leaderRevision_ = ownLeaderRevision_;
+  termRevision_ = ownLeaderRevision_;
+  confirmedAt_ = sentAt;
   nextRenewAt_ = now_ + constants::kLeaderRenewInterval;
   client_.setLeading(true);
-  partitionRevisions_.assign(included, ownRevision_);
-  to(State::taking);
+  partitionRevisions_.assign(includedPartitions, ownLeaderRevision_);
+  transitionTo(State::acquiring);
   acquirePartitions();
 }
 
-// The writes of a deposed leader are conditioned on all partitions, so that one acquired partition already
-// stops them; and each transaction here is conditioned on the term's record, so that a late one of an earlier
-// term changes nothing.
+// The writes of a deposed leader are conditioned on all partitions, so a single acquired partition already
+// makes them fail. Each transaction here is conditioned on the term's record, so a delayed transaction of an
+// earlier term has no effect.
 void Leadership::acquirePartitions() {
   if (partitionRevisions_.size() >= partitionCount_) {
-    to(State::leading);
+    transitionTo(State::leading);
     handlers_.elected(term_, partitionRevisions_);
     return;
   }
   acquireInFlight_ = true;
-  const auto from = static_cast<PartitionId>(partitionRevisions_.size());
+  const auto begin = static_cast<PartitionId>(partitionRevisions_.size());
   const PartitionId end =
-      std::min<PartitionId>(partitionCount_, from + settings_.stateLimits.opsPerTransaction);
+      std::min<PartitionId>(partitionCount_, begin + settings_.stateLimits.opsPerTransaction);
   state::Transaction transaction;
-  transaction.conditions = {{kTermKey, ownRevision_}};
-  for (PartitionId partition = from; partition < end; ++partition)
-    transaction.writes.push_back(writePartition(partition, term_));
+  transaction.conditions = {{kTermKey, ownLeaderRevision_}};
+  for (PartitionId partition = begin; partition < end; ++partition)
+    transaction.writes.push_back(partitionWrite(partition, term_));
   client_.transact(now_, state::Urgency::lease, transaction,
                    [this, end, term = term_](const wire::CallResult& result) {
                      acquireInFlight_ = false;
-                     if (state_ == State::taking && term == term_) onAcquireAnswer(result, end);
+                     if (state_ == State::acquiring && term == term_) onAcquireAnswer(result, end);
                    });
 }
 
@@ -211,53 +213,56 @@
     return acquirePartitions();
   }
   retryAcquireAt_ = now_ + constants::kStateBackoff;
-  // Otherwise the transaction may be applied late, and change the revisions that our own writes are
-  // conditioned on. It can't be applied in the next term, whose record makes its precondition fail.
-  if (result.status != http::kTooManyRequests && result.status != http::kServiceUnavailable) abandonTaking();
+  // After any other failure the transaction could still be applied late and change the revisions on which
+  // this leader's writes are conditioned. It cannot be applied in the next term, whose record makes its
+  // precondition fail.
+  if (result.status != http::kTooManyRequests && result.status != http::kServiceUnavailable)
+    abandonAcquisition();
 }
 
-void Leadership::abandonTaking() {
+void Leadership::abandonAcquisition() {
   client_.setLeading(false);
   retryElection();
 }
 
 void Leadership::renew() {
   renewInFlight_ = true;
-  const Time sent = now_;
-  client_.renewLease(now_, leaseId_, [this, sent, leaseId = leaseId_](const wire::CallResult& result) {
+  const Time sentAt = now_;
+  client_.renewLease(now_, leaseId_, [this, sentAt, leaseId = leaseId_](const wire::CallResult& result) {
     renewInFlight_ = false;
-    if ((state_ == State::leading || state_ == State::taking) && leaseId == leaseId_) onRenewed(result, sent);
+    if ((state_ == State::leading || state_ == State::acquiring) && leaseId == leaseId_)
+      onRenewed(result, sentAt);
   });
 }
 
-void Leadership::onRenewed(const wire::CallResult& result, Time sent) {
-  nextRenewAt_ = (result.ok() ? sent + constants::kLeaderRenewInterval : now_ + constants::kStateBackoff);
-  if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sent);
+void Leadership::onRenewed(const wire::CallResult& result, Time sentAt) {
+  nextRenewAt_ = (result.ok() ? sentAt + constants::kLeaderRenewInterval : now_ + constants::kStateBackoff);
+  if (result.ok()) confirmedAt_ = std::max(confirmedAt_, sentAt);
   if (result.status != http::kNotFound) return;
-  if (state_ == State::taking) {
+  if (state_ == State::acquiring) {
     leaseId_ = 0;
-    return abandonTaking();
+    return abandonAcquisition();
   }
   depose("the lease ran out");
 }
 
-void Leadership::depose(const char* why) {
+void Leadership::depose(const char* reason) {
   leaseId_ = 0;
-  resign(why);
+  resign(reason);
 }
 
-void Leadership::stepDown(const char* why) {
+void Leadership::stepDown(const char* reason) {
   if (state_ != State::leading) return;
   client_.revokeLease(now_, leaseId_);
-  depose(why);
+  depose(reason);
   nextAttemptAt_ = now_ + constants::kStepDownCooldown;
 }
 
-void Leadership::resign(const char* why) {
+void Leadership::resign(const char* reason) {
   if (state_ != State::leading) return;
-  to(State::observing);
+  transitionTo(State::observing);
   client_.setLeading(false);
-  handlers_.deposed(why);
+  handlers_.deposed(reason);
   retryElection();
 }
 
--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -1,5 +1,5 @@
-// Leader election over the key-value store: the leader key is attached to a lease, while the term is in a key
-// without one, so that it never decreases. The new leader then acquires every partition.
+// Leader election over the key-value store. The leader key is attached to a lease. The term is in a key
+// without a lease, so that it never decreases. A new leader then acquires every partition.
 #pragma once
 
 #include <functional>
@@ -13,82 +13,86 @@
 using wire::Json;
 using wire::Time;
 
-// Stored key of the current term, the partition count and the record layout.
+// The stored key of the current term, the partition count and the record layout.
 inline constexpr const char* kTermKey = "leader-term";
 
-// A write of a transaction and the precondition it depends on.
+// A write of a transaction and the precondition on which it depends.
 struct ConditionalWrite {
   state::Condition condition;
   state::Write write;
 };
 
-// State machine of one controller's leader election. Not thread-safe; driven by tick().
+// The state machine of one controller's leader election. tick() drives it. It is not thread-safe.
 class Leadership {
  public:
   // observing: another controller leads, or the leader is not known yet. waiting: there is no leader, and
-  // this controller pauses before its next attempt. leasing, campaigning: it requests a lease, and then the
-  // leadership. taking: it is elected, and acquires the partitions that did not fit into the transaction of
-  // the election. leading: it leads until the lease is lost. refusing: the stored records have a layout that
-  // this version can't read, so it must not lead.
-  enum class State { observing, waiting, leasing, campaigning, taking, leading, refusing };
+  // this controller waits for the time of its next attempt. leasing: it requests a lease. campaigning: it
+  // requests the leadership. acquiring: it is elected, and acquires the partitions that did not fit into the
+  // transaction of the election. leading: it leads until the lease is lost. refusing: the stored records have
+  // a layout that this version cannot read, so it must not lead.
+  enum class State { observing, waiting, leasing, campaigning, acquiring, leading, refusing };
   // Callbacks on changes of leadership; all are required.
   struct Handlers {
-    // This controller leads, and has acquired each partition at the revision in its place.
+    // This controller leads and has acquired all partitions; the revisions are ordered by partition id.
     std::function<void(std::uint64_t term, const std::vector<std::uint64_t>& partitionRevisions)> elected;
-    // It leads no more.
-    std::function<void(const char* why)> deposed;
-    // The stored records have a layout that this version can't read.
-    std::function<void(std::uint64_t layout)> refused;
+    // This controller no longer leads.
+    std::function<void(const char* reason)> deposed;
+    // The stored records have a layout that this version cannot read.
+    std::function<void(std::uint64_t layout)> layoutUnsupported;
   };
 
-  // seed: of the random jitter before a campaign, so that controllers don't campaign at once.
+  // `seed` seeds the random jitter before a campaign, which keeps controllers from campaigning at the same
+  // time.
   Leadership(state::Client& client, const config::Settings& settings, std::uint64_t seed, Handlers handlers);
 
-  // Begins watching the leader keys; call once.
+  // Begins to watch the leader keys. It must be called once.
   void start(Time now);
-  // Drives campaigns, partition acquisition and lease renewal; call on each tick of the event loop.
+  // Drives campaigns, partition acquisition and lease renewal. It must be called on each tick of the event
+  // loop.
   void tick(Time now);
-  // Ends the leadership without releasing the lease; the next attempt uses a higher term.
-  void resign(const char* why);
-  // Releases the leadership to a sibling that may be better placed, and starts no attempt for a while.
-  void stepDown(const char* why);
+  // Ends the leadership without releasing the lease. The next attempt uses a higher term.
+  void resign(const char* reason);
+  // Releases the lease, so that a sibling with better connectivity can lead, and starts no attempt for
+  // constants::kStepDownCooldown.
+  void stepDown(const char* reason);
 
-  // Whether this controller leads and has acquired every partition.
+  // Returns whether this controller leads and has acquired every partition.
   bool isLeading() const { return state_ == State::leading; }
-  // The highest term known of; this controller's own while it leads.
+  // Returns the highest known term, which is this controller's own while it leads.
   std::uint64_t term() const { return term_; }
-  // Label of the leader as the store last told it; empty if there is none.
+  // Returns the label of the leader in the last received record; empty if there is none.
   const std::string& leader() const { return leader_; }
-  // Whether the stored layout is already the one with gangs.
+  // Returns whether the stored layout is already the one with gangs.
   bool layoutRaised() const { return layout_ >= constants::kRecordLayoutWithGangs; }
-  // The write that raises the stored layout, so that no version that can't read it leads from then on. The
-  // first record of the new layout must be written in the same transaction. Nothing if the layout is raised
-  // already or the term is not known.
-  std::optional<ConditionalWrite> raiseLayout() const;
-  // Up to this time the leader lease is known to have been held.
+  // Returns the write that raises the stored layout, after which no version that cannot read the layout
+  // leads. The first record of the new layout must be written in the same transaction. Returns nothing if the
+  // layout has already been raised or the term is not known.
+  std::optional<ConditionalWrite> layoutRaisingWrite() const;
+  // Returns the latest time at which this controller is known to have held the leader lease.
   Time confirmedAt() const { return confirmedAt_; }
 
  private:
-  void to(State next) { state_ = next; }
+  void transitionTo(State next) { state_ = next; }
   void onEntry(const std::string& key, const Json* value, std::uint64_t revision);
   void onCaughtUp();
-  bool anotherLeads() const;
-  state::Write writeTerm(std::uint64_t term, std::uint64_t layout) const;
-  state::Write writePartition(PartitionId partition, std::uint64_t term) const;
+  bool hasOtherLeader() const;
+  state::Write termWrite(std::uint64_t term, std::uint64_t layout) const;
+  state::Write partitionWrite(PartitionId partition, std::uint64_t term) const;
   void requestLease();
   void campaign();
-  // included: how many partitions the election's transaction has acquired.
-  void onCampaignAnswer(const wire::CallResult& result, std::uint64_t term, Time sent, PartitionId included);
+  // `includedPartitions` is the number of partitions that the election's transaction has acquired.
+  void onCampaignAnswer(const wire::CallResult& result, std::uint64_t term, Time sentAt,
+                        PartitionId includedPartitions);
   void acquirePartitions();
-  // end: one past the last partition that the transaction acquires.
+  // `end` is one past the last partition that the transaction acquires.
   void onAcquireAnswer(const wire::CallResult& result, PartitionId end);
-  void abandonTaking();
+  void abandonAcquisition();
   void renew();
-  void onRenewed(const wire::CallResult& result, Time sent);
+  void onRenewed(const wire::CallResult& result, Time sentAt);
   // Ends the leadership after the lease was lost.
-  void depose(const char* why);
-  // Waits for a random time before the next attempt.
-  void pause();
+  void depose(const char* reason);
+  // Schedules the next attempt after a random delay.
+  void scheduleAttempt();
   void retryElection();
   void checkLayout(std::uint64_t layout);
 
@@ -96,7 +100,7 @@
   const config::Settings& settings_;
   Handlers handlers_;
   state::Feed feed_;
-  std::mt19937_64 jitter_;
+  std::mt19937_64 jitterRandom_;
   State state_ = State::observing;
   Time now_{};
   Time nextAttemptAt_{};
@@ -106,11 +110,11 @@
   std::string leader_;
   std::uint64_t leaderRevision_ = 0;
   std::uint64_t termRevision_ = 0;
-  std::uint64_t term_ = 0;         // the highest known
-  std::uint64_t ownRevision_ = 0;  // of the leader key as this controller wrote it last
+  std::uint64_t term_ = 0;               // the highest known term
+  std::uint64_t ownLeaderRevision_ = 0;  // mod revision of this controller's last write of the leader key
   unsigned partitionCount_ = 1;
   std::uint64_t layout_ = constants::kRecordLayout;
-  std::vector<std::uint64_t> partitionRevisions_;  // of the partitions acquired so far
+  std::vector<std::uint64_t> partitionRevisions_;  // mod revisions of the partitions acquired so far
   Time retryAcquireAt_{};
   bool acquireInFlight_ = false;
   std::uint64_t leaseId_ = 0;
--- a/src/cluster/partitions.cpp
+++ b/src/cluster/partitions.cpp
@@ -5,11 +5,14 @@
 namespace reachhoist::cluster {
 
 PartitionId partitionOf(std::string_view name, unsigned partitionCount) {
-  // FNV-1a, 64 bits: fixed for ever, unlike std::hash, since the result outlives the program.
-  std::uint64_t hash = 14695981039346656037ULL;
+  // The hash is 64-bit FNV-1a. Unlike std::hash it never changes, which matters because the result outlives
+  // the program.
+  constexpr std::uint64_t kOffsetBasis = 14695981039346656037ULL;
+  constexpr std::uint64_t kPrime = 1099511628211ULL;
+  std::uint64_t hash = kOffsetBasis;
   for (const char c : name) {
     hash ^= static_cast<unsigned char>(c);
-    hash *= 1099511628211ULL;
+    hash *= kPrime;
   }
   return static_cast<PartitionId>((hash >> 32U) % partitionCount);
 }
--- a/src/cluster/partitions.hpp
+++ b/src/cluster/partitions.hpp
@@ -1,5 +1,5 @@
-// Partitions (shards) of the machines: a machine is hashed to one partition for ever, and all partitions are
-// held by the leader.
+// Partitions (shards) of the machines. A machine is hashed permanently to one partition, and the leader holds
+// all partitions.
 #pragma once
 
 #include <cstdint>
@@ -8,16 +8,16 @@
 
 namespace reachhoist::cluster {
 
-// Index of a partition, below the partition count.
+// The index of a partition, less than the partition count.
 using PartitionId = unsigned;
 
-// The partition of a machine by its name: a stable hash (FNV-1a) modulo the partition count (> 0).
+// Returns the partition of a machine: a stable hash (FNV-1a) of its name modulo the partition count (> 0).
 PartitionId partitionOf(std::string_view name, unsigned partitionCount);
-// Stored key of a partition's record {"owner":..,"term":..}.
+// Returns the stored key of a partition's record {"owner":..,"term":..}.
 std::string partitionKey(PartitionId partition);
 
-// Fencing token of a command: the term in the high bits, and below it a sequence number that invalidates
-// older commands to the same machine.
+// Returns the fencing token of a command. It has the term in its high bits and, below them, a sequence number
+// that invalidates older commands to the same machine.
 std::uint64_t fencingToken(std::uint64_t term, std::uint64_t sequence);
 
 }  // namespace reachhoist::cluster
--- a/src/state/answers.cpp
+++ b/src/state/answers.cpp
@@ -14,20 +14,20 @@
   return wire::countField(result.body, "ledger");
 }
 
-// The list in a field of a successful answer; null if there is none.
+// Returns the list in a field of a successful answer; null if there is none.
 const Json* answerList(const wire::CallResult& result, const char* key) {
   const Json* list = wire::field(result.body, key);
   return result.ok() && list != nullptr && list->is_array() ? list : nullptr;
 }
 
 std::optional<KeyValue> decodeEvent(const Json& event) {
-  if (auto written = wire::textField(event, "write")) {
+  if (auto writtenKey = wire::textField(event, "write")) {
     const Json* value = wire::field(event, "value");
     if (value == nullptr) return std::nullopt;
-    return KeyValue{std::move(*written), value, keyRevision(event)};
+    return KeyValue{std::move(*writtenKey), value, keyRevision(event)};
   }
-  if (auto deleted = wire::textField(event, "delete"))
-    return KeyValue{std::move(*deleted), nullptr, keyRevision(event)};
+  if (auto deletedKey = wire::textField(event, "delete"))
+    return KeyValue{std::move(*deletedKey), nullptr, keyRevision(event)};
   return std::nullopt;
 }
 }  // namespace
@@ -38,7 +38,7 @@
   if (pairs == nullptr || !revision) return std::nullopt;
   RangePage page;
   page.revision = *revision;
-  page.more = wire::flagField(result.body, "more").value_or(false) && !pairs->empty();
+  page.hasMore = wire::flagField(result.body, "more").value_or(false) && !pairs->empty();
   for (const Json& pair : *pairs) {
     auto key = wire::textField(pair, "key");
     const Json* value = wire::field(pair, "value");
@@ -68,15 +68,15 @@
 std::uint64_t appliedRevision(const wire::CallResult& result) { return storeRevision(result).value_or(0); }
 
 std::vector<std::string> failedConditions(const wire::CallResult& result) {
-  std::vector<std::string> failed;
+  std::vector<std::string> failedKeys;
   const Json* keys = wire::field(result.body, "failed");
-  if (keys == nullptr || !keys->is_array()) return failed;
+  if (keys == nullptr || !keys->is_array()) return failedKeys;
   for (const Json& key : *keys)
-    if (key.is_string()) failed.push_back(key.get<std::string>());
-  return failed;
+    if (key.is_string()) failedKeys.push_back(key.get<std::string>());
+  return failedKeys;
 }
 
-std::optional<std::uint64_t> grantedLease(const wire::CallResult& result) {
+std::optional<std::uint64_t> grantedLeaseId(const wire::CallResult& result) {
   if (!result.ok()) return std::nullopt;
   return wire::countField(result.body, "permit");
 }
--- a/src/state/callback_guard.hpp
+++ b/src/state/callback_guard.hpp
@@ -1,4 +1,4 @@
-// Protects objects from callbacks that come after the object's end.
+// Protects objects from callbacks that are called after the object was destroyed.
 #pragma once
 
 #include <memory>
@@ -8,15 +8,15 @@
 
 namespace reachhoist::state {
 
-// Held by an object that starts calls. The callbacks that it wraps do nothing once the guard was revoked or
-// destroyed.
+// An object that starts calls owns a guard and wraps its callbacks with it. The wrapped callbacks do nothing
+// after the guard was revoked or destroyed.
 class CallbackGuard {
  public:
   CallbackGuard() = default;
   CallbackGuard(const CallbackGuard&) = delete;
   CallbackGuard& operator=(const CallbackGuard&) = delete;
 
-  // A callback that passes its result on while the guard holds.
+  // Returns a callback that forwards its arguments until the guard is revoked or destroyed.
   template <class Callback>
   auto wrap(Callback callback) const {
     return
@@ -24,7 +24,7 @@
           if (!alive.expired()) callback(results...);
         };
   }
-  // Disables all callbacks wrapped so far.
+  // Disables all callbacks that were wrapped so far.
   void revoke() { alive_ = std::make_shared<const int>(0); }
 
  private:
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -5,8 +5,9 @@
 namespace reachhoist::state {
 
 namespace {
-constexpr int kPageEntries = 200;  // a page is parsed at once: small pages keep memory use and pauses small
-}
+// A page is parsed in one step, so small pages keep memory use and pauses small.
+constexpr int kMaxPageEntries = 200;
+}  // namespace
 
 Json encode(const Transaction& transaction) {
   Json conditions = Json::array();
@@ -26,27 +27,29 @@
 }
 
 Client::Client(wire::Calls& calls, const config::Settings& settings)
-    : calls_(calls), settings_(settings), requests_(1, 1), writes_(1, 1) {
+    : calls_(calls), settings_(settings), requestBudget_(1, 1), writeBudget_(1, 1) {
   setLeading(false);
 }
 
-Client::Client(wire::Calls& calls, const config::Settings& settings, double share)
-    : calls_(calls), settings_(settings), requests_(1, 1), writes_(1, 1) {
-  setShare(share);
+Client::Client(wire::Calls& calls, const config::Settings& settings, double rateLimitShare)
+    : calls_(calls), settings_(settings), requestBudget_(1, 1), writeBudget_(1, 1) {
+  setRateLimitShare(rateLimitShare);
 }
 
-void Client::setShare(double share) {
-  requests_.set(settings_.stateLimits.requestsPerS * share, settings_.stateLimits.requestsPerS * share);
-  writes_.set(settings_.stateLimits.writesPerS * share, settings_.stateLimits.writesPerS * share);
+void Client::setRateLimitShare(double rateLimitShare) {
+  requestBudget_.set(settings_.stateLimits.requestsPerS * rateLimitShare,
+                     settings_.stateLimits.requestsPerS * rateLimitShare);
+  writeBudget_.set(settings_.stateLimits.writesPerS * rateLimitShare,
+                   settings_.stateLimits.writesPerS * rateLimitShare);
 }
 
 void Client::setLeading(bool leading) {
-  const auto others = static_cast<double>(settings_.siblings.size());
-  setShare((others == 0 ? 1.0
-            : leading
-                ? constants::kLeaderBudgetShare
-                : std::min(constants::kFollowerBudgetShare, (1 - constants::kLeaderBudgetShare) / others)) *
-           constants::kRateLimitUtilization);
+  const auto siblingCount = static_cast<double>(settings_.siblings.size());
+  setRateLimitShare((siblingCount == 0 ? 1.0
+                     : leading         ? constants::kLeaderBudgetShare
+                                       : std::min(constants::kFollowerBudgetShare,
+                                                  (1 - constants::kLeaderBudgetShare) / siblingCount)) *
+                    constants::kRateLimitUtilization);
 }
 
 void Client::transact(Time now, Urgency urgency, const Transaction& transaction, Done done) {
@@ -54,7 +57,7 @@
          {.method = "POST",
           .path = "/multi",
           .body = encode(transaction),
-          .writes = static_cast<double>(transaction.writes.size()),
+          .writeCount = static_cast<double>(transaction.writes.size()),
           .done = std::move(done)});
 }
 
@@ -63,7 +66,7 @@
 }
 
 void Client::list(Time now, Urgency urgency, const std::string& prefix, const std::string& after, Done done) {
-  std::string path = "/keys?under=" + prefix + "&limit=" + std::to_string(kPageEntries);
+  std::string path = "/keys?under=" + prefix + "&limit=" + std::to_string(kMaxPageEntries);
   if (!after.empty()) path += "&after=" + after;
   submit(now, urgency,
          {.method = "GET",
@@ -73,11 +76,11 @@
 }
 
 void Client::watch(Time now, Urgency urgency, const std::string& prefix, std::uint64_t after,
-                   std::chrono::milliseconds block, Done done) {
+                   std::chrono::milliseconds maxWait, Done done) {
   std::string path = "/changes?under=" + prefix + "&after=" + std::to_string(after) +
-                     "&blockMs=" + std::to_string(block.count());
+                     "&blockMs=" + std::to_string(maxWait.count());
   const auto timeout =
-      block.count() > 0 ? block + constants::kWatchTimeoutSlack : constants::kStateCallTimeout;
+      maxWait.count() > 0 ? maxWait + constants::kWatchTimeoutSlack : constants::kStateCallTimeout;
   submit(now, urgency,
          {.method = "GET", .path = std::move(path), .timeout = timeout, .done = std::move(done)});
 }
@@ -89,7 +92,6 @@
 }
 
 void Client::revokeLease(Time now, std::uint64_t leaseId) {
-  // If the call is lost, the lease expires by itself.
   submit(now, Urgency::lease,
          {.method = "DELETE",
           .path = "/leases/" + std::to_string(leaseId),
@@ -105,20 +107,21 @@
 }
 
 void Client::submit(Time now, Urgency urgency, QueuedRequest request) {
-  request.deadline = now + request.timeout;
+  request.sendDeadline = now + request.timeout;
   queues_[static_cast<std::size_t>(urgency)].push_back(std::move(request));
   pump(now);
 }
 
-bool Client::withinLimits(Time now, const QueuedRequest& request) {
-  return requests_.affords(now, 1) && (request.writes == 0 || writes_.affords(now, request.writes));
+bool Client::fitsRateLimits(Time now, const QueuedRequest& request) {
+  return requestBudget_.affords(now, 1) &&
+         (request.writeCount == 0 || writeBudget_.affords(now, request.writeCount));
 }
 
 bool Client::send(Time now, Urgency urgency, QueuedRequest& request) {
-  const bool mayOverdraw = urgency == Urgency::lease || urgency == Urgency::acceptance;
-  if (!mayOverdraw && !withinLimits(now, request)) return false;
-  requests_.take(now, 1);
-  if (request.writes > 0) writes_.take(now, request.writes);
+  const bool canOverdraw = urgency == Urgency::lease || urgency == Urgency::acceptance;
+  if (!canOverdraw && !fitsRateLimits(now, request)) return false;
+  requestBudget_.take(now, 1);
+  if (request.writeCount > 0) writeBudget_.take(now, request.writeCount);
   wire::Call call;
   call.service = wire::Service::state;
   call.endpoint = settings_.endpoints.state;
@@ -135,11 +138,11 @@
   for (std::size_t i = 0; i < queues_.size(); ++i) {
     auto& queue = queues_[i];
     while (!queue.empty() && send(now, static_cast<Urgency>(i), queue.front())) queue.pop_front();
-    while (!queue.empty() && queue.front().deadline <= now) {
+    while (!queue.empty() && queue.front().sendDeadline <= now) {
       expired.push_back(std::move(queue.front().done));
       queue.pop_front();
     }
-    if (!queue.empty()) break;  // less urgent requests wait behind it
+    if (!queue.empty()) break;  // less urgent requests wait until this queue is empty
   }
   for (Done& done : expired) done(wire::CallResult{});
 }
--- a/src/state/committer.cpp
+++ b/src/state/committer.cpp
@@ -28,12 +28,12 @@
 void Committer::abandon() {
   guard_.revoke();
   done_ = nullptr;
-  to(State::idle);
+  transitionTo(State::idle);
 }
 
 void Committer::tick(Time now) {
   now_ = now;
-  if (state_ != State::pausing || now < resumeAt_) return;
+  if (state_ != State::backingOff || now < retryAt_) return;
   if (!failedKeys_.empty()) {
     readBack();
   } else {
@@ -42,19 +42,19 @@
 }
 
 void Committer::send(Time now) {
-  to(State::sending);
+  transitionTo(State::sending);
   failedKeys_.clear();
   client_.transact(now, urgency_, transaction_,
                    guard_.wrap([this](const wire::CallResult& result) { onAnswer(result); }));
 }
 
-void Committer::pause(Time now) {
-  resumeAt_ = now + constants::kStateBackoff;
-  to(State::pausing);
+void Committer::backOff(Time now) {
+  retryAt_ = now + constants::kStateBackoff;
+  transitionTo(State::backingOff);
 }
 
 void Committer::finish(const Outcome& outcome) {
-  to(State::idle);
+  transitionTo(State::idle);
   const Done done = std::move(done_);
   done_ = nullptr;
   if (done) done(outcome);
@@ -66,30 +66,30 @@
   if (result.status == http::kBadRequest || result.status == http::kContentTooLarge)
     return finish(Outcome{Verdict::refused, 0, {kUnknownKey}});
   if (result.isOutcomeUnknown()) maybeApplied_ = true;
-  pause(now_);
+  backOff(now_);
 }
 
 void Committer::onConflict(std::vector<std::string> failedKeys) {
   failedKeys_ = std::move(failedKeys);
   if (failedKeys_.empty()) failedKeys_.emplace_back(kUnknownKey);
-  // An earlier try whose answer was lost may have been applied, and then its own writes are why the
+  // An earlier attempt whose answer was lost can have been applied. In that case its own writes make the
   // preconditions fail now.
   if (maybeApplied_ && !readBackKey_.empty()) return readBack();
   finish(Outcome{Verdict::refused, 0, failedKeys_});
 }
 
 void Committer::readBack() {
-  to(State::readingBack);
+  transitionTo(State::readingBack);
   client_.get(now_, urgency_, readBackKey_,
               guard_.wrap([this](const wire::CallResult& result) { onReadBack(result); }));
 }
 
 void Committer::onReadBack(const wire::CallResult& result) {
-  if (!result.ok() && result.status != http::kNotFound) return pause(now_);
+  if (!result.ok() && result.status != http::kNotFound) return backOff(now_);
   const Json* value = result.ok() ? wire::field(result.body, "value") : nullptr;
   if (value != nullptr && wire::textField(*value, "mark") == mark_)
     return finish(Outcome{Verdict::applied, wire::countField(result.body, "stamp").value_or(0), {}});
-  // Preconditions that failed once never hold again, so the transaction can't be applied late either.
+  // Preconditions that failed once never hold again, so the transaction cannot be applied late either.
   finish(Outcome{Verdict::refused, 0, failedKeys_});
 }
 
--- a/src/state/committer.hpp
+++ b/src/state/committer.hpp
@@ -1,5 +1,5 @@
-// A serial writer to the key-value store: carries one compare-and-swap transaction at a time to a definite
-// verdict, despite outages, rate limits and lost answers.
+// A serial writer to the key-value store. It brings one compare-and-swap transaction at a time to a definite
+// verdict despite outages, rate limits and lost answers.
 #pragma once
 
 #include <functional>
@@ -9,43 +9,44 @@
 
 namespace reachhoist::state {
 
-// Whether a transaction's writes took effect (applied) or its preconditions failed (refused).
+// applied: the transaction's writes took effect. refused: its preconditions failed, or the store rejected it
+// as invalid or too large.
 enum class Verdict { applied, refused };
 
 // The definite result of a transaction.
 struct Outcome {
   Verdict verdict = Verdict::refused;
-  std::uint64_t revision = 0;  // mod revision of every key written, when applied
-  std::vector<std::string>
-      failedKeys;  // keys whose preconditions did not hold, when refused ("?" if unknown)
+  std::uint64_t revision = 0;           // if applied: mod revision of every written key
+  std::vector<std::string> failedKeys;  // if refused: keys whose preconditions failed; "?" if unknown
 };
 
-// Serial writer with one transaction in flight. Every value written must be a JSON object: it gets a mark by
-// which, after an answer was lost, a read-back tells whether this very transaction was applied.
+// A serial writer with one transaction in flight. Every written value must be a JSON object. It gets a mark
+// by which a read-back, after an answer was lost, finds whether this transaction was applied.
 class Committer {
  public:
-  // idle: nothing in flight. sending: the transaction is sent. pausing: backing off before a retry.
-  // readingBack: reading a written key to learn whether a try whose answer was lost was applied.
-  enum class State { idle, sending, pausing, readingBack };
-  // Called once with the definite outcome, unless the transaction is abandoned first.
+  // idle: no transaction is in flight. sending: the transaction is sent. backingOff: the writer waits before
+  // a retry. readingBack: it reads a written key to find whether an attempt whose answer was lost was
+  // applied.
+  enum class State { idle, sending, backingOff, readingBack };
+  // Called once with the definite outcome, unless abandon() is called first.
   using Done = std::function<void(const Outcome&)>;
 
-  // markPrefix: unique to this writer (and its incarnation), so that marks never repeat.
+  // `markPrefix` must be unique to this writer and its incarnation, so that marks never repeat.
   Committer(Client& client, std::string markPrefix) : client_(client), markPrefix_(std::move(markPrefix)) {}
 
-  // Whether a transaction is in flight; commit() may be called only when not busy.
+  // Returns whether a transaction is in flight. commit() can be called only if none is.
   bool isBusy() const { return state_ != State::idle; }
-  // Starts the transaction; retries it on outages and rate limits until its verdict is known.
+  // Starts the transaction, and retries it on outages and rate limits until its verdict is known.
   void commit(Time now, Urgency urgency, Transaction transaction, Done done);
-  // Forgets the transaction under way; its outcome will not be told.
+  // Drops the transaction in flight without reporting its outcome.
   void abandon();
-  // Drives retries after a back-off; call on each tick of the event loop.
+  // Drives retries after a back-off. It must be called on each tick of the event loop.
   void tick(Time now);
 
  private:
-  void to(State next) { state_ = next; }
+  void transitionTo(State next) { state_ = next; }
   void send(Time now);
-  void pause(Time now);
+  void backOff(Time now);
   void finish(const Outcome& outcome);
   void onAnswer(const wire::CallResult& result);
   void onConflict(std::vector<std::string> failedKeys);
@@ -61,10 +62,10 @@
   Done done_;
   std::string mark_;
   std::string readBackKey_;
-  bool maybeApplied_ = false;  // an earlier try may have been applied
+  bool maybeApplied_ = false;  // whether an earlier attempt with a lost answer can have been applied
   std::vector<std::string> failedKeys_;
   Time now_{};
-  Time resumeAt_{};
+  Time retryAt_{};
   CallbackGuard guard_;  // revoked when the transaction is abandoned
 };
 
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -5,16 +5,17 @@
 
 namespace reachhoist::state {
 
-Feed::Feed(Client& client, std::string prefix, Urgency urgency, wire::Duration confirmGap, Handlers handlers)
+Feed::Feed(Client& client, std::string prefix, Urgency urgency, wire::Duration minConfirmInterval,
+           Handlers handlers)
     : client_(client),
       prefix_(std::move(prefix)),
       urgency_(urgency),
-      confirmGap_(confirmGap),
+      minConfirmInterval_(minConfirmInterval),
       handlers_(std::move(handlers)) {}
 
 void Feed::start(Time now) {
   now_ = now;
-  to(State::listing);
+  transitionTo(State::listing);
   lastListedKey_.clear();
   atFirstPage_ = true;
   list();
@@ -26,14 +27,15 @@
     if (state_ == State::listing && !listInFlight_) list();
     if (state_ == State::following && !watchInFlight_) watch();
   }
-  // Also when nobody waits: a failing store is probed, and the view is kept fresh.
-  const auto stale = failing_ ? constants::kStateBackoff : constants::kMaxFeedStaleness;
-  if (!waiting_.empty() || (state_ == State::following && now - lastConfirmAt_ > stale)) sendConfirm();
+  // A confirming read is also sent when no caller waits. It probes a failing store and keeps the view fresh.
+  const auto maxConfirmAge = failing_ ? constants::kStateBackoff : constants::kMaxFeedStaleness;
+  if (!pendingConfirms_.empty() || (state_ == State::following && now - lastConfirmAt_ > maxConfirmAge))
+    sendConfirm();
 }
 
 void Feed::list() {
   listInFlight_ = true;
-  if (atFirstPage_) listedFrom_ = now_;
+  if (atFirstPage_) listingStartedAt_ = now_;
   client_.list(now_, urgency_, prefix_, lastListedKey_, guard_.wrap([this](const wire::CallResult& result) {
     listInFlight_ = false;
     onPage(result);
@@ -46,36 +48,36 @@
   if (atFirstPage_) {
     // Changes during the listing are replayed from the first page's revision on.
     revision_ = page->revision;
-    if (handlers_.listingBegins) handlers_.listingBegins();
+    if (handlers_.onListingStart) handlers_.onListingStart();
   }
   atFirstPage_ = false;
   for (const KeyValue& entry : page->entries) {
     lastListedKey_ = entry.key;
-    handlers_.entry(entry.key, entry.value, entry.revision);
+    handlers_.onEntry(entry.key, entry.value, entry.revision);
   }
-  if (page->more) return list();
-  everListed_ = true;
-  // Only now: the entries of the later pages were not known before.
-  confirmedAt_ = std::max(confirmedAt_, listedFrom_);
-  to(State::following);
-  if (handlers_.caughtUp) handlers_.caughtUp();
+  if (page->hasMore) return list();
+  hasListed_ = true;
+  // The time is set only here, because before the last page the view lacks the entries of later pages.
+  confirmedAt_ = std::max(confirmedAt_, listingStartedAt_);
+  transitionTo(State::following);
+  if (handlers_.onCaughtUp) handlers_.onCaughtUp();
   if (!watchInFlight_) watch();
 }
 
 bool Feed::applyChanges(const wire::CallResult& result) {
   const auto batch = decodeWatch(result);
   if (!batch) return false;
-  const std::uint64_t known = revision_;
+  const std::uint64_t previousRevision = revision_;
   revision_ = std::max(revision_, batch->revision);
   for (const KeyValue& event : batch->events)
-    if (event.revision > known) handlers_.entry(event.key, event.value, event.revision);
-  if (handlers_.caughtUp) handlers_.caughtUp();
+    if (event.revision > previousRevision) handlers_.onEntry(event.key, event.value, event.revision);
+  if (handlers_.onCaughtUp) handlers_.onCaughtUp();
   return true;
 }
 
-// The changes are no longer kept by the store, or exceed the size limit of an answer: another watch would
-// fail in the same way. Pages of a listing are bounded.
-bool Feed::mustList(const wire::CallResult& result) {
+// The store no longer keeps the changes, or they exceed the size limit of an answer. Another watch would fail
+// in the same way, whereas the pages of a listing are bounded.
+bool Feed::requiresListing(const wire::CallResult& result) {
   return result.status == http::kGone || result.responseTooLarge;
 }
 
@@ -92,46 +94,47 @@
 
 void Feed::onChanges(const wire::CallResult& result) {
   if (state_ != State::following) return;
-  if (mustList(result)) return start(now_);
+  if (requiresListing(result)) return start(now_);
   if (!applyChanges(result)) return retryLater();
   watch();
 }
 
-void Feed::confirm(Time now, Confirmed done) {
+void Feed::confirm(Time now, ConfirmCallback done) {
   now_ = now;
   if (failing_) return done(false);
-  waiting_.push_back(std::move(done));
+  pendingConfirms_.push_back(std::move(done));
   sendConfirm();
 }
 
-void Feed::failWaiting() {
-  for (const Confirmed& done : std::exchange(waiting_, {})) done(false);
+void Feed::failPendingConfirms() {
+  for (const ConfirmCallback& done : std::exchange(pendingConfirms_, {})) done(false);
 }
 
 void Feed::sendConfirm() {
   if (confirmInFlight_) return;
-  if (state_ != State::following) return failWaiting();
-  if (now_ < nextConfirm_) return;
+  if (state_ != State::following) return failPendingConfirms();
+  if (now_ < nextConfirmAt_) return;
   confirmInFlight_ = true;
-  nextConfirm_ = now_ + confirmGap_;
+  nextConfirmAt_ = now_ + minConfirmInterval_;
   lastConfirmAt_ = now_;
-  const Time sent = now_;
+  const Time sentAt = now_;
   client_.watch(now_, Urgency::lease, prefix_, revision_, std::chrono::milliseconds(0),
-                guard_.wrap([this, sent, batch = std::exchange(waiting_, {})](
-                                const wire::CallResult& result) { onConfirmed(sent, batch, result); }));
+                guard_.wrap([this, sentAt, batch = std::exchange(pendingConfirms_, {})](
+                                const wire::CallResult& result) { onConfirmed(sentAt, batch, result); }));
 }
 
-void Feed::onConfirmed(Time sent, const std::vector<Confirmed>& batch, const wire::CallResult& result) {
+void Feed::onConfirmed(Time sentAt, const std::vector<ConfirmCallback>& batch,
+                       const wire::CallResult& result) {
   confirmInFlight_ = false;
-  if (mustList(result)) start(now_);
-  // A listing begun meanwhile starts from a later revision: the changes in this answer would be skipped, and
-  // their keys may be on a page that has not been read.
+  if (requiresListing(result)) start(now_);
+  // A listing that began meanwhile starts from a later revision. The changes in this answer would be skipped,
+  // and their keys can be on a page that has not been read yet.
   const bool ok = state_ == State::following && applyChanges(result);
   failing_ =
       !ok && !result.responseTooLarge && (result.status == 0 || result.status == http::kServiceUnavailable);
-  if (failing_) failWaiting();
-  if (ok) confirmedAt_ = std::max(confirmedAt_, sent);
-  for (const Confirmed& done : batch) done(ok);
+  if (failing_) failPendingConfirms();
+  if (ok) confirmedAt_ = std::max(confirmedAt_, sentAt);
+  for (const ConfirmCallback& done : batch) done(ok);
 }
 
 }  // namespace reachhoist::state
--- a/src/state/feed.hpp
+++ b/src/state/feed.hpp
@@ -1,6 +1,6 @@
-// Watch of a key prefix in the key-value store: lists all keys below it once, then follows their changes by
-// revision. One confirming read serves all callers that were waiting when it was sent, so that under load its
-// batch grows while its rate stays bounded.
+// Watch of a key prefix in the key-value store. The feed lists all keys below the prefix once and then
+// follows their changes by revision. One confirming read serves all callers that were waiting when it was
+// sent, so under load the number of callers per read grows while the rate of reads stays bounded.
 #pragma once
 
 #include <functional>
@@ -10,74 +10,79 @@
 
 namespace reachhoist::state {
 
-// List-then-watch of every key below a prefix, with reads that confirm the view is up to date.
+// List-then-watch of every key below a prefix, with reads that confirm that the view is up to date.
 class Feed {
  public:
-  // stopped: not begun. listing: all keys are read, page by page. following: changes are watched.
+  // stopped: start() has not been called. listing: all keys are being read, page by page. following: changes
+  // are being watched.
   enum class State { stopped, listing, following };
-  // Callbacks; entry is required, the others may be empty.
+  // Callbacks. onEntry is required; the others can be empty.
   struct Handlers {
-    // A null value: the key was deleted.
-    std::function<void(const std::string& key, const Json* value, std::uint64_t revision)> entry;
-    std::function<void()> listingBegins;
-    std::function<void()> caughtUp;  // after a listing, and after each batch of changes
+    // Called with each listed or changed key. The value is null if the key was deleted.
+    std::function<void(const std::string& key, const Json* value, std::uint64_t revision)> onEntry;
+    std::function<void()> onListingStart;
+    // Called after a listing, and after each batch of changes.
+    std::function<void()> onCaughtUp;
   };
-  // Called with true once the view is confirmed up to date, or with false.
-  using Confirmed = std::function<void(bool ok)>;
+  // Called with true when the view is confirmed to be up to date, or with false if that failed.
+  using ConfirmCallback = std::function<void(bool ok)>;
 
-  // confirmGap: least time between two confirming reads.
-  Feed(Client& client, std::string prefix, Urgency urgency, wire::Duration confirmGap, Handlers handlers);
+  // `minConfirmInterval` is the minimum time between two confirming reads.
+  Feed(Client& client, std::string prefix, Urgency urgency, wire::Duration minConfirmInterval,
+       Handlers handlers);
   Feed(const Feed&) = delete;
 
-  // Begins (or restarts) the listing; may be called in any state.
+  // Begins or restarts the listing. It can be called in any state.
   void start(Time now);
-  // Retries failed calls after the back-off and keeps the view fresh; call on each tick of the event loop.
+  // Retries failed calls after the back-off and keeps the view fresh. It must be called on each tick of the
+  // event loop.
   void tick(Time now);
-  // Calls back once a read begun after this moment has brought in everything before it, or with false.
-  void confirm(Time now, Confirmed done);
-  // Whether one listing has been completed.
-  bool isReady() const { return everListed_; }
-  // Whether the last confirming read failed for another reason than the rate limits. Until one succeeds
-  // again, confirm() fails at once.
+  // Calls `done` with true when a read that begins after this call has delivered all earlier changes, or with
+  // false if that failed.
+  void confirm(Time now, ConfirmCallback done);
+  // Returns whether a listing has been completed.
+  bool isReady() const { return hasListed_; }
+  // Returns whether the last confirming read failed for another reason than the rate limits. Until one
+  // succeeds again, confirm() fails immediately.
   bool isFailing() const { return failing_; }
-  // The view holds every change made before this time.
+  // Returns the time before which every change is included in the view.
   Time confirmedAt() const { return confirmedAt_; }
 
  private:
-  void to(State next) { state_ = next; }
+  void transitionTo(State next) { state_ = next; }
   void list();
   void onPage(const wire::CallResult& result);
   void watch();
   void sendConfirm();
-  void onConfirmed(Time sent, const std::vector<Confirmed>& batch, const wire::CallResult& result);
-  void failWaiting();
+  void onConfirmed(Time sentAt, const std::vector<ConfirmCallback>& batch, const wire::CallResult& result);
+  void failPendingConfirms();
   void onChanges(const wire::CallResult& result);
-  // Tells the changes in an answer; false if it holds none that can be read.
+  // Passes the changes of an answer to the handlers. Returns false if the answer cannot be decoded.
   bool applyChanges(const wire::CallResult& result);
   void retryLater();
-  static bool mustList(const wire::CallResult& result);
+  static bool requiresListing(const wire::CallResult& result);
 
   Client& client_;
   std::string prefix_;
   Urgency urgency_;
-  wire::Duration confirmGap_;
+  wire::Duration minConfirmInterval_;
   Handlers handlers_;
   State state_ = State::stopped;
-  bool everListed_ = false;
-  std::string lastListedKey_;   // in the listing under way
-  std::uint64_t revision_ = 0;  // all changes up to here have been told
+  bool hasListed_ = false;
+  std::string lastListedKey_;   // the last key that the current listing has read
+  std::uint64_t revision_ = 0;  // all changes up to this revision have been passed on
   bool atFirstPage_ = true;
   bool watchInFlight_ = false;
   bool listInFlight_ = false;
   Time now_{};
   Time retryAt_{};
-  Time listedFrom_{};  // when the listing under way was begun
+  Time listingStartedAt_{};  // start of the current listing
   Time confirmedAt_{};
-  Time nextConfirm_{};
+  Time nextConfirmAt_{};
   Time lastConfirmAt_{};
   bool confirmInFlight_ = false;
   bool failing_ = false;
-  std::vector<Confirmed> waiting_;  // for the next confirming read
+  std::vector<ConfirmCallback> pendingConfirms_;  // callers that wait for the next confirming read
   CallbackGuard guard_;
 };
 
--- a/src/state/key_watch.cpp
+++ b/src/state/key_watch.cpp
@@ -5,12 +5,12 @@
 
 namespace reachhoist::state {
 
-KeyWatch::KeyWatch(Client& client, std::string key, Changed changed)
-    : client_(client), key_(std::move(key)), changed_(std::move(changed)) {}
+KeyWatch::KeyWatch(Client& client, std::string key, ChangeCallback onChange)
+    : client_(client), key_(std::move(key)), onChange_(std::move(onChange)) {}
 
 void KeyWatch::start(Time now) {
   now_ = now;
-  to(State::reading);
+  transitionTo(State::reading);
   read();
 }
 
@@ -21,7 +21,7 @@
   if (state_ == State::following) watch();
 }
 
-void KeyWatch::retry() { retryAt_ = now_ + constants::kStateBackoff; }
+void KeyWatch::scheduleRetry() { retryAt_ = now_ + constants::kStateBackoff; }
 
 void KeyWatch::read() {
   callInFlight_ = true;
@@ -33,10 +33,10 @@
 
 void KeyWatch::onRead(const wire::CallResult& result) {
   const auto read = decodeRead(result);
-  if (!read) return retry();
+  if (!read) return scheduleRetry();
   revision_ = read->revision;
-  notify(read->value, read->revision);
-  to(State::following);
+  report(read->value, read->revision);
+  transitionTo(State::following);
   watch();
 }
 
@@ -50,21 +50,21 @@
 }
 
 void KeyWatch::onChanges(const wire::CallResult& result) {
-  // The store no longer keeps the changes, or they exceed the size limit: the key is read anew.
-  if (result.status == http::kGone || result.responseTooLarge) to(State::reading);
+  // The store no longer keeps the changes, or they exceed the size limit, so the key is read again.
+  if (result.status == http::kGone || result.responseTooLarge) transitionTo(State::reading);
   const auto batch = decodeWatch(result);
-  if (!batch) return retry();
+  if (!batch) return scheduleRetry();
   for (const KeyValue& event : batch->events)
-    if (event.key == key_ && event.revision > revision_) notify(event.value, event.revision);
+    if (event.key == key_ && event.revision > revision_) report(event.value, event.revision);
   revision_ = std::max(revision_, batch->revision);
   watch();
 }
 
-void KeyWatch::notify(const Json* value, std::uint64_t revision) {
-  // A second read may return a value that has been told already.
-  if (value != nullptr && revision == toldRevision_) return;
-  toldRevision_ = value == nullptr ? 0 : revision;
-  changed_(value, toldRevision_);
+void KeyWatch::report(const Json* value, std::uint64_t revision) {
+  // A second read can return a value that has already been reported.
+  if (value != nullptr && revision == reportedRevision_) return;
+  reportedRevision_ = value == nullptr ? 0 : revision;
+  onChange_(value, reportedRevision_);
 }
 
 }  // namespace reachhoist::state
--- a/src/state/key_watch.hpp
+++ b/src/state/key_watch.hpp
@@ -1,5 +1,6 @@
-// Watch of one key of the key-value store: reads it once, then follows its changes by revision. While the
-// store is unreachable the last value remains valid, and calls are retried after a back-off.
+// Watch of one key of the key-value store. The watch reads the key once and then follows its changes by
+// revision. While the store is unreachable, the last value remains valid and calls are retried after a
+// back-off.
 #pragma once
 
 #include <functional>
@@ -10,38 +11,39 @@
 
 namespace reachhoist::state {
 
-// Watch of a single key. Tells each new value (or deletion) once, in revision order.
+// Watches a single key and reports each new value or deletion once, in revision order.
 class KeyWatch {
  public:
-  // stopped: not begun. reading: the key is read as a whole. following: its changes are watched.
+  // stopped: start() has not been called. reading: the key is being read. following: its changes are being
+  // watched.
   enum class State { stopped, reading, following };
-  // Called with each new value and its revision; a null value: there is no such key.
-  using Changed = std::function<void(const Json* value, std::uint64_t revision)>;
+  // Called with each new value and its revision. The value is null if the key does not exist.
+  using ChangeCallback = std::function<void(const Json* value, std::uint64_t revision)>;
 
-  // Watches the key; changed is called for each of its values, from start() on.
-  KeyWatch(Client& client, std::string key, Changed changed);
+  // `onChange` is called for each value of the key after start().
+  KeyWatch(Client& client, std::string key, ChangeCallback onChange);
   KeyWatch(const KeyWatch&) = delete;
 
-  // Reads the key and then follows it; call once, in state stopped.
+  // Reads the key and then follows its changes. It must be called once.
   void start(Time now);
-  // Retries a failed read or watch after the back-off; call on each tick of the event loop.
+  // Retries a failed read or watch after the back-off. It must be called on each tick of the event loop.
   void tick(Time now);
 
  private:
-  void to(State next) { state_ = next; }
+  void transitionTo(State next) { state_ = next; }
   void read();
   void onRead(const wire::CallResult& result);
   void watch();
   void onChanges(const wire::CallResult& result);
-  void retry();
-  void notify(const Json* value, std::uint64_t revision);
+  void scheduleRetry();
+  void report(const Json* value, std::uint64_t revision);
 
   Client& client_;
   std::string key_;
-  Changed changed_;
+  ChangeCallback onChange_;
   State state_ = State::stopped;
-  std::uint64_t revision_ = 0;      // all changes up to here have been told
-  std::uint64_t toldRevision_ = 0;  // of the value told last
+  std::uint64_t revision_ = 0;          // all changes up to this revision have been reported
+  std::uint64_t reportedRevision_ = 0;  // mod revision of the last reported value
   bool callInFlight_ = false;
   Time now_{};
   Time retryAt_{};
--- a/src/state/token_bucket.hpp
+++ b/src/state/token_bucket.hpp
@@ -7,46 +7,48 @@
 
 namespace reachhoist::state {
 
-// Tokens refill at a fixed rate up to a burst size. A cost may overdraw the bucket; callers that check with
-// affords() then wait until the debt is paid back. Not thread-safe.
+// Tokens refill at a fixed rate up to a burst size. A cost can overdraw the bucket, and callers that check
+// with affords() then wait until the refill has paid back the debt. TokenBucket is not thread-safe.
 class TokenBucket {
  public:
-  // perSecond: refill rate in tokens per second. burst: bucket size in tokens; the bucket starts full.
-  TokenBucket(double perSecond, double burst) : rate_(perSecond), burst_(burst), tokens_(burst) {}
-
-  // Changes rate and burst; tokens above the new burst are dropped.
-  void set(double perSecond, double burst) {
-    rate_ = perSecond;
-    burst_ = burst;
-    tokens_ = std::min(tokens_, burst_);
+  // `tokensPerS` is the refill rate and `burstTokens` the bucket size. The bucket starts full.
+  TokenBucket(double tokensPerS, double burstTokens)
+      : tokensPerS_(tokensPerS), burstTokens_(burstTokens), tokens_(burstTokens) {}
+
+  // Changes the refill rate and the bucket size. Tokens above the new size are dropped.
+  void set(double tokensPerS, double burstTokens) {
+    tokensPerS_ = tokensPerS;
+    burstTokens_ = burstTokens;
+    tokens_ = std::min(tokens_, burstTokens_);
   }
-  // Whether a call of this cost may be made now. A cost above the burst is let through once the bucket is
-  // full, and leaves it in debt.
+  // Returns whether a call of this cost, in tokens, is allowed now. A cost above the bucket size is allowed
+  // when the bucket is full, and leaves it in debt.
   bool affords(wire::Time now, double cost) {
     refill(now);
-    return tokens_ >= std::min(cost, burst_);
+    return tokens_ >= std::min(cost, burstTokens_);
   }
-  // Takes the cost even if the bucket does not hold it: urgent calls may put it into debt, which others then
-  // wait out.
+  // Takes the cost even if the bucket does not hold it. Urgent calls can put the bucket into debt, and other
+  // calls then wait until it is paid back.
   void take(wire::Time now, double cost) {
     refill(now);
-    tokens_ = std::max(tokens_ - cost, kMaxDebtBursts * burst_ - cost);
+    tokens_ = std::max(tokens_ - cost, kMinBalanceBursts * burstTokens_ - cost);
   }
 
  private:
-  // The debt is bounded so that one burst of urgent calls can't stop the others for long.
-  static constexpr double kMaxDebtBursts = -2;
+  // The debt before a cost is bounded, so that a burst of urgent calls cannot block the other calls for long.
+  static constexpr double kMinBalanceBursts = -2;
 
   void refill(wire::Time now) {
-    if (now <= last_) return;
-    if (last_ != wire::Time{}) tokens_ = std::min(burst_, tokens_ + rate_ * wire::toSeconds(now - last_));
-    last_ = now;
+    if (now <= lastRefillAt_) return;
+    if (lastRefillAt_ != wire::Time{})
+      tokens_ = std::min(burstTokens_, tokens_ + tokensPerS_ * wire::toSeconds(now - lastRefillAt_));
+    lastRefillAt_ = now;
   }
 
-  double rate_;
-  double burst_;
+  double tokensPerS_;
+  double burstTokens_;
   double tokens_;
-  wire::Time last_{};
+  wire::Time lastRefillAt_{};
 };
 
 }  // namespace reachhoist::state
