--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -122,7 +122,7 @@
   transitionTo(State::waiting);
 }
 
-void Leadership::retryElection() {
+void Leadership::scheduleRetry() {
   nextAttemptAt_ = now_ + constants::kElectionRetryInterval;
   transitionTo(State::waiting);
 }
@@ -132,7 +132,7 @@
   client_.grantLease(now_, constants::kLeaderLeaseTtl, [this](const wire::CallResult& result) {
     if (state_ != State::leasing) return;
     const auto leaseId = state::grantedLeaseId(result);
-    if (!leaseId) return retryElection();
+    if (!leaseId) return scheduleRetry();
     leaseId_ = *leaseId;
     if (hasOtherLeader()) {
       transitionTo(State::observing);
@@ -168,7 +168,7 @@
     // The lease can have expired while this controller waited. The transaction respects every limit, so only
     // an expired lease can cause a bad request. If no answer came, the feed shows which controller leads.
     if (result.status == http::kBadRequest) leaseId_ = 0;
-    return retryElection();
+    return scheduleRetry();
   }
   ownLeaderRevision_ = state::appliedRevision(result);
   term_ = term;
@@ -222,7 +222,7 @@
 
 void Leadership::abandonAcquisition() {
   client_.setLeading(false);
-  retryElection();
+  scheduleRetry();
 }
 
 void Leadership::renew() {
@@ -263,7 +263,7 @@
   transitionTo(State::observing);
   client_.setLeading(false);
   handlers_.deposed(reason);
-  retryElection();
+  scheduleRetry();
 }
 
 }  // namespace reachhoist::cluster
--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -93,7 +93,8 @@
   void depose(const char* reason);
   // Schedules the next attempt after a random delay.
   void scheduleAttempt();
-  void retryElection();
+  // Schedules the next attempt after constants::kElectionRetryInterval.
+  void scheduleRetry();
   void checkLayout(std::uint64_t layout);
 
   state::Client& client_;
--- a/src/service/job_progress.cpp
+++ b/src/service/job_progress.cpp
@@ -18,10 +18,10 @@
   // The progress is split into several messages, because a frame that is too large is dropped as a whole, and
   // so would every later frame of the same size.
   const auto jobs = progress.jobs.begin();
-  for (std::size_t from = 0; from < progress.jobs.size(); from += constants::kMaxJobsPerProgressMessage) {
-    const std::size_t to = std::min(progress.jobs.size(), from + constants::kMaxJobsPerProgressMessage);
-    const auto first = jobs + static_cast<std::ptrdiff_t>(from);
-    const auto last = jobs + static_cast<std::ptrdiff_t>(to);
+  for (std::size_t begin = 0; begin < progress.jobs.size(); begin += constants::kMaxJobsPerProgressMessage) {
+    const std::size_t end = std::min(progress.jobs.size(), begin + constants::kMaxJobsPerProgressMessage);
+    const auto first = jobs + static_cast<std::ptrdiff_t>(begin);
+    const auto last = jobs + static_cast<std::ptrdiff_t>(end);
     context_.broadcast(peer::Progress{progress.term, {first, last}});
   }
 }
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -8,7 +8,9 @@
 
 namespace {
 
-// Milliseconds since the Unix epoch.
+constexpr const char* kInvalidAddress = "must be an address like 10.0.0.1:8080";
+
+// Returns the milliseconds since the Unix epoch.
 std::int64_t wallClockMs() {
   const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
@@ -38,9 +40,9 @@
   net::Address bind;
   net::Address peerListen;
   std::string error;
-  if (!net::Address::parse(settings_.bind, bind)) return config::FieldError{"bind", "not an address"};
+  if (!net::Address::parse(settings_.bind, bind)) return config::FieldError{"bind", kInvalidAddress};
   if (!net::Address::parse(settings_.peerListen, peerListen))
-    return config::FieldError{"peer_listen", "not an address"};
+    return config::FieldError{"peer_listen", kInvalidAddress};
   if (!server_.listen(bind, error)) return config::FieldError{"bind", error};
   if (!peerListener_.listen(peerListen, error)) return config::FieldError{"peer_listen", error};
   return std::nullopt;
@@ -50,7 +52,7 @@
   for (const config::Sibling& sibling : settings_.siblings) {
     net::Address address;
     if (!net::Address::parse(sibling.endpoint, address))
-      return config::FieldError{"siblings.endpoint", "not an address"};
+      return config::FieldError{"siblings.endpoint", kInvalidAddress};
     siblingLinks_[sibling.label] = std::make_unique<net::FrameSender>(reactor_, address);
   }
   return std::nullopt;
--- a/src/service/share_table_follower.cpp
+++ b/src/service/share_table_follower.cpp
@@ -31,7 +31,7 @@
   if (value == nullptr) {
     storedGeneration_ = 0;
     if (context_.shares)
-      configuredTable_ = *context_.shares;  // a deleted record is replaced by the table in force
+      configuredTable_ = *context_.shares;  // the leader replaces a deleted record by the table in force
     return;
   }
   shares::Table table;
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -43,10 +43,10 @@
                    settings_.stateLimits.writesPerS * rateLimitShare);
 }
 
-void Client::setLeading(bool leading) {
+void Client::setLeading(bool isLeading) {
   const auto siblingCount = static_cast<double>(settings_.siblings.size());
   setRateLimitShare((siblingCount == 0 ? 1.0
-                     : leading         ? constants::kLeaderBudgetShare
+                     : isLeading       ? constants::kLeaderBudgetShare
                                        : std::min(constants::kFollowerBudgetShare,
                                                   (1 - constants::kLeaderBudgetShare) / siblingCount)) *
                     constants::kRateLimitUtilization);
--- a/src/state/client.hpp
+++ b/src/state/client.hpp
@@ -72,7 +72,7 @@
   // long.
   void pump(Time now);
   // Sets the rate-limit share of a leader or of a follower. The leader writes most and gets the larger share.
-  void setLeading(bool leading);
+  void setLeading(bool isLeading);
 
  private:
   struct QueuedRequest {
--- a/src/state/feed.cpp
+++ b/src/state/feed.cpp
@@ -44,7 +44,7 @@
 
 void Feed::onPage(const wire::CallResult& result) {
   const auto page = decodePage(result);
-  if (!page) return retryLater();
+  if (!page) return scheduleRetry();
   if (atFirstPage_) {
     // Changes during the listing are replayed from the first page's revision on.
     revision_ = page->revision;
@@ -81,7 +81,7 @@
   return result.status == http::kGone || result.responseTooLarge;
 }
 
-void Feed::retryLater() { retryAt_ = now_ + constants::kStateBackoff; }
+void Feed::scheduleRetry() { retryAt_ = now_ + constants::kStateBackoff; }
 
 void Feed::watch() {
   watchInFlight_ = true;
@@ -95,7 +95,7 @@
 void Feed::onChanges(const wire::CallResult& result) {
   if (state_ != State::following) return;
   if (requiresListing(result)) return start(now_);
-  if (!applyChanges(result)) return retryLater();
+  if (!applyChanges(result)) return scheduleRetry();
   watch();
 }
 
--- a/src/state/feed.hpp
+++ b/src/state/feed.hpp
@@ -59,7 +59,7 @@
   void onChanges(const wire::CallResult& result);
   // Passes the changes of an answer to the handlers. Returns false if the answer cannot be decoded.
   bool applyChanges(const wire::CallResult& result);
-  void retryLater();
+  void scheduleRetry();
   static bool requiresListing(const wire::CallResult& result);
 
   Client& client_;
