--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::string_view kJobsPrefix = "jobs/";
 
-// Least time between two confirming reads of the job feed: each controller spends a share of the key-value
-// store's request rate on them, and all controllers together are bounded as well.
-wire::Duration confirmGap(const config::Settings& settings) {
+// Returns the minimum time between two confirming reads of the job feed. Each controller spends a share of
+// the key-value store's request rate on them, and the sum over all controllers is bounded as well.
+wire::Duration minConfirmInterval(const config::Settings& settings) {
   const auto controllers = static_cast<double>(settings.siblings.size() + 1);
   const double share =
       std::min(constants::kMaxPollBudgetShare, constants::kTotalPollBudgetShare / controllers);
@@ -32,8 +32,8 @@
                        Context::LogSink sink)
     : settings_(settings),
       context_(settings, level, std::move(sink)),
-      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::placement, confirmGap(settings),
-               jobFeedHandlers()),
+      jobFeed_(context_.state, std::string(kJobsPrefix), state::Urgency::placement,
+               minConfirmInterval(settings), jobFeedHandlers()),
       leadership_(context_.state, settings, seed, leadershipHandlers()),
       siblings_(context_, leadership_),
       heartbeatRelay_(context_, leadership_, siblings_),
@@ -42,33 +42,34 @@
       catalogLoader_(context_),
       jobApi_(context_, jobFeed_, jobs_, leadership_,
               [this](auto change, const std::string& ref) { onJobChange(change, ref); }) {
-  if (settings.operators.shares.enabled) shares_ = std::make_unique<SharesFollower>(context_);
+  if (settings.operators.shares.enabled) shares_ = std::make_unique<ShareTableFollower>(context_);
 }
 
 // --- callbacks of the components ---------------------------------------------------------------------------
 
 state::Feed::Handlers Controller::jobFeedHandlers() {
-  const auto entry = [this](const std::string& key, const Json* value, std::uint64_t revision) {
+  const auto onEntry = [this](const std::string& key, const Json* value, std::uint64_t revision) {
     onJobRecord(key, value, revision);
   };
-  return {entry, nullptr, nullptr};
+  return {onEntry, nullptr, nullptr};
 }
 
 cluster::Leadership::Handlers Controller::leadershipHandlers() {
-  // Elections take effect in the next tick, because these are called while Leadership changes its own state.
+  // A change of leadership takes effect in the next tick, because Leadership calls these handlers while it
+  // changes its own state.
   const auto elected = [this](std::uint64_t term, const std::vector<std::uint64_t>& partitionRevisions) {
     pendingLeadershipChange_ = LeadershipChange{term, partitionRevisions};
     context_.event(Level::info, "elected", {{"term", term}});
   };
-  const auto deposed = [this](const char* why) {
+  const auto deposed = [this](const char* reason) {
     pendingLeadershipChange_ = LeadershipChange{};
-    context_.event(Level::info, "deposed", {{"why", why}});
+    context_.event(Level::info, "deposed", {{"why", reason}});
   };
-  const auto refused = [this](std::uint64_t layout) {
+  const auto layoutUnsupported = [this](std::uint64_t layout) {
     context_.event(Level::error, "layout_unsupported",
                    {{"found", layout}, {"readable", constants::kRecordLayout}});
   };
-  return {elected, deposed, refused};
+  return {elected, deposed, layoutUnsupported};
 }
 
 void Controller::onJobRecord(const std::string& key, const Json* value, std::uint64_t revision) {
@@ -91,15 +92,16 @@
 void Controller::beginEvent(Time now, std::int64_t wallClockMs) {
   context_.now = now;
   context_.wallClockMs = wallClockMs;
-  const Time before = std::exchange(lastEventAt_, now);
-  if (before != Time{} && now - before > constants::kStallThreshold) resumed(now - before);
+  const Time previousEventAt = std::exchange(lastEventAt_, now);
+  if (previousEventAt != Time{} && now - previousEventAt > constants::kStallThreshold)
+    onResumed(now - previousEventAt);
 }
 
-void Controller::resumed(wire::Duration suspendedFor) {
+void Controller::onResumed(wire::Duration suspendedFor) {
   context_.resumedAt = context_.now;
   context_.event(Level::info, "resumed", {{"away_s", wire::toSeconds(suspendedFor)}});
-  siblings_.resumed(suspendedFor);
-  if (leader_) leader_->resumed(suspendedFor);
+  siblings_.onResumed(suspendedFor);
+  if (leader_) leader_->onResumed(suspendedFor);
 }
 
 void Controller::start(Time now, std::int64_t wallClockMs) {
@@ -115,17 +117,17 @@
   beginEvent(now, wallClockMs);
   applyLeadershipChange();
   leadership_.tick(now);
-  // The leader may answer workers only while both this read and its lease are recent.
-  if (leader_ && now >= nextConfirm_) {
-    nextConfirm_ = now + constants::kLeadershipConfirmInterval;
+  // The leader can answer workers only while both its last confirming read and its lease are recent.
+  if (leader_ && now >= nextConfirmAt_) {
+    nextConfirmAt_ = now + constants::kLeadershipConfirmInterval;
     jobFeed_.confirm(now, [](bool) {});
   }
   jobFeed_.tick(now);
   jobApi_.tick();
-  if (shares_) shares_->tick(leadership_.leading());
+  if (shares_) shares_->tick(leadership_.isLeading());
   if (leader_) leader_->tick();
   catalogLoader_.tick();
-  if (now >= nextHeartbeat_) sendHeartbeat();
+  if (now >= nextHeartbeatAt_) sendHeartbeat();
   heartbeatRelay_.tick();
   context_.state.pump(now);
 }
@@ -134,7 +136,7 @@
   Actions actions;
   actions.calls = context_.calls.drain();
   actions.replies = std::exchange(context_.replies, {});
-  actions.peers = std::exchange(context_.peerOut, {});
+  actions.peerMessages = std::exchange(context_.peerMessages, {});
   return actions;
 }
 
@@ -186,8 +188,8 @@
 
 void Controller::answerHealthCheck(std::uint64_t request) {
   const bool healthy =
-      jobFeed_.ready() && context_.catalog.has_value() && !siblings_.isIsolated(jobFeed_.confirmedAt());
-  if (!healthy) return context_.later(request);
+      jobFeed_.isReady() && context_.catalog.has_value() && !siblings_.isIsolated(jobFeed_.confirmedAt());
+  if (!healthy) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, Json{{"ok", true}});
 }
 
@@ -197,59 +199,59 @@
     context_.event(Level::info, "bad_heartbeat", {{"why", heartbeat.reason()}});
     return context_.replyError(request, http::kBadRequest, heartbeat.reason());
   }
-  if (!leadership_.leading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
+  if (!leadership_.isLeading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
   Leader* leader = activeLeader();
-  if (leader == nullptr) return context_.later(request);
+  if (leader == nullptr) return context_.replyTryAgain(request);
   auto response = leader->onHeartbeat(*heartbeat, HeartbeatSource::heartbeat);
-  if (response.status != http::kOk) return context_.later(request);
+  if (response.status != http::kOk) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, std::move(response.body));
 }
 
 // --- messages between controllers --------------------------------------------------------------------------
 
-void Controller::onPeer(Time now, std::int64_t wallClockMs, const peer::Message& message) {
+void Controller::onPeerMessage(Time now, std::int64_t wallClockMs, const peer::Message& message) {
   beginEvent(now, wallClockMs);
   if (settings_.sibling(message.from) == nullptr) return;
-  std::visit([&](const auto& payload) { onPeerMessage(message.from, payload); }, message.payload);
+  std::visit([&](const auto& payload) { handlePeerPayload(message.from, payload); }, message.payload);
 }
 
-void Controller::onPeerMessage(const std::string& from, const peer::RelayRequest& request) {
+void Controller::handlePeerPayload(const std::string& from, const peer::RelayRequest& request) {
   peer::RelayResponse response{request.number, http::kServiceUnavailable, {}};
   const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
   Leader* leader = activeLeader();
   if (heartbeat && leader != nullptr) {
-    const auto given = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
-    if (context_.logs(Level::debug))
+    const auto answer = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
+    if (context_.isLogged(Level::debug))
       context_.event(Level::debug, "relayed",
-                     {{"machine", heartbeat->host.text}, {"through", from}, {"status", given.status}});
-    response.status = given.status;
-    if (given.status == http::kOk) response.body = wire::encodeBody(given.body);
+                     {{"machine", heartbeat->host.text}, {"through", from}, {"status", answer.status}});
+    response.status = answer.status;
+    if (answer.status == http::kOk) response.body = wire::encodeBody(answer.body);
   }
   context_.sendTo(from, std::move(response));
 }
 
-void Controller::onPeerMessage(const std::string& /*from*/, const peer::RelayResponse& response) {
+void Controller::handlePeerPayload(const std::string& /*from*/, const peer::RelayResponse& response) {
   heartbeatRelay_.onResponse(response);
 }
 
-void Controller::onPeerMessage(const std::string& /*from*/, const peer::Progress& progress) {
-  // The leader counts the tasks itself.
+void Controller::handlePeerPayload(const std::string& /*from*/, const peer::Progress& progress) {
+  // The leader counts the tasks itself, so it ignores progress from a sibling.
   if (leader_) return;
   progressReceiver_.apply(progress);
 }
 
-void Controller::onPeerMessage(const std::string& from, const peer::Heartbeat& heartbeat) {
-  const bool newLeader = siblings_.onHeartbeat(from, heartbeat);
-  // This controller may be the last to learn of its successor. As long as it answered workers 200, they would
-  // not look for the new leader.
-  if (newLeader && leadership_.leading() && heartbeat.term > leadership_.term())
+void Controller::handlePeerPayload(const std::string& from, const peer::Heartbeat& heartbeat) {
+  const bool isNewLeader = siblings_.onHeartbeat(from, heartbeat);
+  // The sibling's heartbeat can arrive before this controller finds the new leader in the key-value store. As
+  // long as this controller answers workers with 200, they do not look for the new leader.
+  if (isNewLeader && leadership_.isLeading() && heartbeat.term > leadership_.term())
     leadership_.resign("a sibling leads under a later term");
 }
 
 void Controller::sendHeartbeat() {
-  nextHeartbeat_ = context_.now + constants::kPeerHeartbeatInterval;
+  nextHeartbeatAt_ = context_.now + constants::kPeerHeartbeatInterval;
   const bool storeConfirmed = context_.now - jobFeed_.confirmedAt() < constants::kPeerHeartbeatTimeout;
-  context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.leading(), storeConfirmed});
+  context_.broadcast(peer::Heartbeat{leadership_.term(), leadership_.isLeading(), storeConfirmed});
   if (leader_) progressPublisher_.publish(*leader_);
 }
 
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -3,7 +3,7 @@
 namespace reachhoist::service {
 
 Json jobStatus(const jobs::Job& job) {
-  // Only the leader tracks single tasks; the others show what it last sent them.
+  // Only the leader tracks single tasks. The other controllers show the counts that it last sent them.
   std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completedCount;
   std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.runningCount;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
@@ -28,7 +28,7 @@
     return context.reply(request, http::kOk, jobSummary(*job));
   feed.confirm(context.now, [&context, &jobs, request, ref](bool confirmed) {
     const jobs::Job* job = jobs.find(ref);
-    if (!confirmed || job == nullptr) return context.later(request);
+    if (!confirmed || job == nullptr) return context.replyTryAgain(request);
     context.reply(request, http::kOk, jobSummary(*job));
   });
 }
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -60,7 +60,7 @@
 // Final phases have their own writer because users wait for them, while progress records only save work after
 // a failover.
 void CompletionRecords::writeFinalPhases() {
-  if (finalPhaseWriter_.busy() || finishedJobs_.empty()) return;
+  if (finalPhaseWriter_.isBusy() || finishedJobs_.empty()) return;
   state::Transaction transaction;
   std::vector<std::string> refs;
   for (const std::string& ref : finishedJobs_) {
@@ -103,7 +103,7 @@
 void CompletionRecords::writeProgress() {
   // Progress is written at intervals so that less urgent writes are not starved. A delay loses little,
   // because a completed task that is started again ends at once.
-  if (progressWriter_.busy() || dirtyJobs_.empty() || context_.now < nextProgressAt_) return;
+  if (progressWriter_.isBusy() || dirtyJobs_.empty() || context_.now < nextProgressAt_) return;
   nextProgressAt_ = context_.now + constants::kProgressWriteInterval;
   const std::vector<ChunkId> chunks = takeDirtyChunks();
   if (chunks.empty()) return;
@@ -166,7 +166,7 @@
 // --- deletion ----------------------------------------------------------------------------------------------
 
 void CompletionRecords::deleteObsoleteKeys() {
-  if (deletionWriter_.busy() || obsoleteKeys_.empty()) return;
+  if (deletionWriter_.isBusy() || obsoleteKeys_.empty()) return;
   state::Transaction transaction;
   std::vector<std::string> keys;
   for (const std::string& key : obsoleteKeys_) {
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -17,7 +17,7 @@
   const auto receivingFor = context_.now - state_.receivingHeartbeatsSince();
   const bool canJudgeSilence = receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
                                state_.holdsLeaderLease();
-  if (partitions_.mostlyIndirect()) prober_.probeRelayed();
+  if (partitions_.isMostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.clearRecoveredJobs();
   for (auto& [host, machine] : state_.machines.all())
@@ -37,17 +37,18 @@
 
 const char* FailureDetector::transferReason() const {
   const bool siblingHeartbeatsMissing =
-      context_.now - context_.siblingHeardAt > constants::kPeerHeartbeatTimeout;
+      context_.now - context_.lastSiblingHeartbeatAt > constants::kPeerHeartbeatTimeout;
   const bool siblingReachesStore =
-      context_.now - context_.siblingConfirmedAt <= constants::kPeerHeartbeatTimeout;
+      context_.now - context_.lastConfirmedSiblingHeartbeatAt <= constants::kPeerHeartbeatTimeout;
   if (partitions_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "no worker heartbeats";
-  if (siblingReachesStore && partitions_.unreachedFor(context_.now) > constants::kLeaderIsolationTimeout)
+  if (siblingReachesStore &&
+      partitions_.withoutDirectContactFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "only relayed heartbeats";
   // If all machines had failed, a new leader would get no heartbeats either. Siblings whose heartbeats are
   // missing as well show that this controller is behind a network partition instead.
   if (siblingHeartbeatsMissing &&
-      partitions_.unheardFor(context_.now) > constants::kNewLeaderContactTimeout &&
+      partitions_.withoutHeartbeatsFor(context_.now) > constants::kNewLeaderContactTimeout &&
       context_.now - state_.receivingHeartbeatsSince() > constants::kNewLeaderContactTimeout)
     return "no heartbeats at all";
   return nullptr;
@@ -74,7 +75,7 @@
 
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
   const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
-  const bool isPossiblyPartitioned = partitions_.doubtful(machine.zone);
+  const bool isPossiblyPartitioned = partitions_.isSuspected(machine.zone);
   if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
       (leaseExpired || !isPossiblyPartitioned))
     lifecycle_.decommission(machine, "missed heartbeats");
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -69,7 +69,7 @@
 }
 
 void MachineLifecycle::writeDecommissioning() {
-  if (committer_.busy()) return;
+  if (committer_.isBusy()) return;
   std::vector<std::string> newHosts;
   // One key names every machine that is being released. Each write drops the machines that have been
   // terminated.
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -8,7 +8,9 @@
 
 namespace {
 
-// Milliseconds since the Unix epoch.
+constexpr const char* kInvalidAddress = "must be an address like 10.0.0.1:8080";
+
+// Returns the milliseconds since the Unix epoch.
 std::int64_t wallClockMs() {
   const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
@@ -38,9 +40,9 @@
   net::Address bind;
   net::Address peerListen;
   std::string error;
-  if (!net::Address::parse(settings_.bind, bind)) return config::FieldError{"bind", "not an address"};
+  if (!net::Address::parse(settings_.bind, bind)) return config::FieldError{"bind", kInvalidAddress};
   if (!net::Address::parse(settings_.peerListen, peerListen))
-    return config::FieldError{"peer_listen", "not an address"};
+    return config::FieldError{"peer_listen", kInvalidAddress};
   if (!server_.listen(bind, error)) return config::FieldError{"bind", error};
   if (!peerListener_.listen(peerListen, error)) return config::FieldError{"peer_listen", error};
   return std::nullopt;
@@ -50,7 +52,7 @@
   for (const config::Sibling& sibling : settings_.siblings) {
     net::Address address;
     if (!net::Address::parse(sibling.endpoint, address))
-      return config::FieldError{"siblings.endpoint", "not an address"};
+      return config::FieldError{"siblings.endpoint", kInvalidAddress};
     siblingLinks_[sibling.label] = std::make_unique<net::FrameSender>(reactor_, address);
   }
   return std::nullopt;
@@ -74,14 +76,14 @@
 void Runtime::onFrame(const std::string& frame) {
   const auto message = peer::decode(frame);
   if (!message) return;
-  controller_.onPeer(reactor_.now(), wallClockMs(), *message);
+  controller_.onPeerMessage(reactor_.now(), wallClockMs(), *message);
   performActions();
 }
 
 void Runtime::performActions() {
   Actions actions = controller_.drain();
   for (const Reply& reply : actions.replies) sendReply(reply);
-  for (const PeerSend& send : actions.peers) sendToSibling(send);
+  for (const OutgoingPeerMessage& outgoing : actions.peerMessages) sendToSibling(outgoing);
   for (wire::Call& call : actions.calls) net::spawn(executeCall(std::move(call)));
 }
 
@@ -90,9 +92,9 @@
   server_.respond(reply.request, net::HttpResponse{reply.status, std::move(body), reply.retryAfterS});
 }
 
-void Runtime::sendToSibling(const PeerSend& send) {
-  const auto link = siblingLinks_.find(send.to);
-  if (link != siblingLinks_.end()) link->second->send(peer::encode(send.message));
+void Runtime::sendToSibling(const OutgoingPeerMessage& outgoing) {
+  const auto link = siblingLinks_.find(outgoing.to);
+  if (link != siblingLinks_.end()) link->second->send(peer::encode(outgoing.message));
 }
 
 net::Task<void> Runtime::executeCall(wire::Call call) {
