--- a/src/placement/gang_preemptor.cpp
+++ b/src/placement/gang_preemptor.cpp
@@ -22,7 +22,7 @@
   const bool entitled = state_.shareAccount && state_.shareAccount->mayClaim(job);
   if (entitled) state_.entitledJobs.push_back(&job);
   const Claim claim{state_.isWithinGuarantee(job.spec.ref.text),
-                    entitled && state_.input.mayPreemptForShares && state_.shareAccount->withinReclaimStep()};
+                    entitled && state_.input.canPreemptForShares && state_.shareAccount->withinReclaimStep()};
   if (!mayPreemptAnyByRank(state_, job) && !claim.forShare) return;
   std::vector<Option> best;
   double bestCostS = std::numeric_limits<double>::max();
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -55,8 +55,8 @@
   return guaranteed;
 }
 
-shares::RanksAbove ranksAboveShares(const config::Settings& settings,
-                                    const std::vector<const Job*>& openJobs) {
+shares::ShareExemption shareExemption(const config::Settings& settings,
+                                      const std::vector<const Job*>& openJobs) {
   return [guaranteed = guaranteedJobs(settings, openJobs)](const Job& job) {
     return job.spec.priority >= wire::Priority::high || guaranteed.contains(job.spec.ref.text);
   };
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -20,7 +20,7 @@
 // A task that is to start on a machine.
 struct Assignment {
   Job* job = nullptr;
-  std::uint32_t index = 0;  // of the task
+  std::uint32_t taskIndex = 0;
   Machine* machine = nullptr;
 };
 
@@ -28,8 +28,8 @@
 struct Preemption {
   Machine* machine = nullptr;
   wire::TaskId task;
-  std::uint64_t attempt = 0;  // attempt number
-  double gracePeriodS = 0;    // time that the stop allows for a checkpoint
+  std::uint64_t attemptNumber = 0;
+  double gracePeriodS = 0;  // time that the stop allows for a checkpoint
 };
 
 // Tasks of a job for which there was no capacity; input to the sizing of the fleet.
@@ -59,7 +59,7 @@
   std::size_t maxTasks = constants::kMaxTasksPerRound;
   std::size_t maxPreemptions = constants::kMaxStopsPerRound;
   const shares::Table* shares = nullptr;  // null: no fair shares
-  bool mayPreemptForShares = false;       // whether this round may preempt for fair shares
+  bool canPreemptForShares = false;       // whether this round may preempt for fair shares
 };
 
 // Decides one placement round.
@@ -79,7 +79,7 @@
                                                const std::vector<const Job*>& openJobs);
 
 // Which jobs are served before fair shares apply: those of high priority, and those within a guarantee.
-shares::RanksAbove ranksAboveShares(const config::Settings& settings,
-                                    const std::vector<const Job*>& openJobs);
+shares::ShareExemption shareExemption(const config::Settings& settings,
+                                      const std::vector<const Job*>& openJobs);
 
 }  // namespace reachhoist::placement
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -55,11 +55,11 @@
 }
 
 void RoundState::openShareAccount() {
-  const auto ranksAbove = [this](const Job& job) {
+  const auto isExempt = [this](const Job& job) {
     return job.spec.priority >= wire::Priority::high || isWithinGuarantee(job.spec.ref.text);
   };
   shareAccount.emplace(
-      shares::takeUsageSnapshot(*input.shares, input.settings, input.machines, input.openJobs, ranksAbove),
+      shares::takeUsageSnapshot(*input.shares, input.settings, input.machines, input.openJobs, isExempt),
       input.settings.operators.shares.reclaimStep);
 }
 
--- a/src/placement/share_preemptor.cpp
+++ b/src/placement/share_preemptor.cpp
@@ -15,7 +15,7 @@
   const std::uint32_t pending = promisePendingCapacity(state_, job, tasks - std::min(covered, tasks));
   claim(job, pending);
   covered += pending;
-  if (!state_.input.mayPreemptForShares || covered >= tasks || !mayPreemptMore(job)) return;
+  if (!state_.input.canPreemptForShares || covered >= tasks || !mayPreemptMore(job)) return;
   if (!state_.shareAccount->anyGroupAboveEntitlement() || foundNoVictimsBefore(job)) return;
   state_.plan.triedSharePreemption = true;
   std::vector<Candidate> candidates = findCandidates(job);
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -76,7 +76,7 @@
 
 void PlacementScheduler::preempt(const std::vector<placement::Preemption>& stops) {
   for (const placement::Preemption& stop : stops) {
-    Attempt* attempt = stop.machine->find(stop.task, stop.attempt);
+    Attempt* attempt = stop.machine->find(stop.task, stop.attemptNumber);
     if (attempt == nullptr) continue;
     context_.event(Level::info, "preempt", {{"task", stop.task.str()}, {"machine", stop.machine->host.text}});
     gangs_.stop(*stop.machine, *attempt, stop.gracePeriodS, constants::kUnlimitedStopTimeS, "preempted");
@@ -135,7 +135,7 @@
   jobs::Job& job = *assignment.job;
   Machine& machine = *assignment.machine;
   Attempt attempt;
-  attempt.task = wire::TaskId{job.spec.ref, assignment.index};
+  attempt.task = wire::TaskId{job.spec.ref, assignment.taskIndex};
   attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kMaxBatchesPerRound);
   const bool gangBegun = job.isGang() && job.gang.state == jobs::GangState::reserving;
   if (!attempt.batch && !gangBegun) return false;
@@ -150,7 +150,7 @@
   const bool inRound = attempt.batch.has_value();
   machine.attempts.push_back(std::move(attempt));
   machine.transactionInFlight = true;
-  job.setTaskPhase(assignment.index, jobs::TaskPhase::placed, context_.now);
+  job.setTaskPhase(assignment.taskIndex, jobs::TaskPhase::placed, context_.now);
   if (!inRound) return true;
   round.hosts.insert(machine.host.text);
   round.jobs.insert(job.spec.ref.text);
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -20,7 +20,7 @@
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   world.shares = &*context_.shares;
-  world.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemption_;
+  world.canPreemptForShares = mayPreemptForShares && context_.now >= nextPreemption_;
 }
 
 void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
@@ -39,7 +39,7 @@
   for (const std::string& ref : state_.jobs.openJobs()) open.push_back(state_.jobs.find(ref));
   const shares::Table& table = *context_.shares;
   const shares::UsageSnapshot usage = shares::takeUsageSnapshot(
-      table, context_.settings, machines, open, placement::ranksAboveShares(context_.settings, open));
+      table, context_.settings, machines, open, placement::shareExemption(context_.settings, open));
   const auto groupShares = shares::allocateFairShares(usage.capacity, usage.loads);
   const auto converged = shares::converged(usage, groupShares);
   Json groups = Json::array();
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -111,7 +111,7 @@
 
 UsageSnapshot takeUsageSnapshot(const Table& table, const config::Settings& settings,
                                 const std::vector<Machine*>& machines,
-                                const std::vector<const jobs::Job*>& open, const RanksAbove& ranksAbove) {
+                                const std::vector<const jobs::Job*>& open, const ShareExemption& isExempt) {
   UsageSnapshot usage;
   usage.loads.resize(table.groups());
   usage.units.resize(table.groups());
@@ -120,7 +120,7 @@
   for (const jobs::Job* job : open) {
     JobStanding standing;
     standing.group = table.groupOf(job->spec.team, job->spec.jobClass);
-    standing.fixed = ranksAbove(*job);
+    standing.fixed = isExempt(*job);
     usage.jobs[job->spec.ref.text] = standing;
   }
   for (const Machine* machine : machines)
--- a/src/shares/usage.hpp
+++ b/src/shares/usage.hpp
@@ -40,11 +40,11 @@
 std::vector<bool> converged(const UsageSnapshot& usage, const std::vector<GroupShare>& shares);
 
 // Whether a job is served before fair shares apply (and is never preempted for them).
-using RanksAbove = std::function<bool(const jobs::Job&)>;
+using ShareExemption = std::function<bool(const jobs::Job&)>;
 
 // Takes the snapshot. `open` and the table must outlive it (it keeps views of job refs).
 UsageSnapshot takeUsageSnapshot(const Table& table, const config::Settings& settings,
                                 const std::vector<machines::Machine*>& machines,
-                                const std::vector<const jobs::Job*>& open, const RanksAbove& ranksAbove);
+                                const std::vector<const jobs::Job*>& open, const ShareExemption& isExempt);
 
 }  // namespace reachhoist::shares
