--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -1,4 +1,4 @@
-// Bins of a placement round; see bin.hpp.
+// The bins of one placement round; see bin.hpp.
 #include "placement/bin.hpp"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A task is retried on another machine than it failed on, unless the job itself is at fault.
+// Whether the job has failed on the machine. Its tasks are retried on other machines, unless the job itself
+// is at fault.
 bool isAvoided(const Job& job, const Machine& machine) {
   return !job.failures.jobAtFault() && job.failures.failedOn(machine.host.text);
 }
@@ -15,15 +16,15 @@
 }  // namespace
 
 wire::Resources Bin::capacityAfterStops() const {
-  wire::Resources out = freeCapacity;
-  out += leaving;
-  return out;
+  wire::Resources capacity = freeCapacity;
+  capacity += stoppingCapacity;
+  return capacity;
 }
 
 wire::Resources Bin::unpromisedCapacity() const {
-  wire::Resources out = capacityAfterStops();
-  out -= promised;
-  return out;
+  wire::Resources capacity = capacityAfterStops();
+  capacity -= promisedCapacity;
+  return capacity;
 }
 
 bool Bin::plansImage(const std::string& image) const {
@@ -41,15 +42,15 @@
   double seconds = 0;
   if (!machine.hasImage(job.spec.image)) {
     const double pullS = machine.pullSeconds(job.spec.imageSizeGb);
-    const bool shared = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
-    seconds += shared ? pullS * constants::kSharedFetchCostShare : pullS;
+    const bool sharesPull = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
+    seconds += sharesPull ? pullS * constants::kSharedFetchCostShare : pullS;
   }
   if (job.spec.allowsSpot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
-  const double used =
+  const double usedShare =
       1 - bin.freeCapacity.vcpus / std::max(machine.capacity.vcpus, constants::kMinCpuDivisor);
   seconds += (job.spec.priority >= wire::Priority::high ? constants::kEmptyMachineServicePenaltyS
                                                         : constants::kEmptyMachineArrayPenaltyS) *
-             (1 - used);
+             (1 - usedShare);
   return seconds;
 }
 
--- a/src/placement/gang_placer.hpp
+++ b/src/placement/gang_placer.hpp
@@ -1,4 +1,4 @@
-// Placement of gangs (gang scheduling): all tasks in one decision, or none.
+// Placement of gangs (gang scheduling): one decision places all tasks of a gang, or none.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,26 @@
  public:
   explicit GangPlacer(RoundState& state) : state_(state), preemptor_(state) {}
 
-  // Places the gang if all its tasks fit now. Otherwise adds it to the unplaced demand, preempts for it and
-  // reserves capacity where it may. Does nothing while a task of an earlier attempt may be on a machine.
+  // Places the gang if all its tasks fit now. Otherwise adds it to the unplaced demand, preempts attempts if
+  // that makes it fit, and reserves the free capacity if `canReserve` allows that. A gang beyond its team's
+  // limit only reserves quota. Does nothing while a task of an earlier attempt can still be on a machine.
   void place(Job& job);
 
  private:
-  // Where the tasks of a gang fit: one bin for each task, as far as there are any.
+  // The bins for the tasks of a gang: one entry for each task that fits.
   struct Fit {
-    std::vector<std::size_t> bins;
-    double slowestStartS = 0;  // until the last of them can start
+    std::vector<std::size_t> binIndexes;
+    double slowestStartS = 0;  // delay until the last of these tasks can start
   };
-  // The best fit in one zone; an empty name stands for all zones.
+  // The best fit in the zone; an empty name stands for all zones.
   Fit findFit(const Job& job, const std::string& zone) const;
   Fit findBestFit(const Job& job) const;
   std::vector<BinChoice> rankBins(const Job& job, const std::string& zone) const;
-  bool mayReserve(const Job& job) const;
+  bool canReserve(const Job& job) const;
 
   RoundState& state_;
   GangPreemptor preemptor_;
-  std::size_t reservedGangs_ = 0;  // gangs for which capacity is reserved in this round
+  std::size_t reservedGangCount_ = 0;  // gangs for which this round has reserved capacity
 };
 
 }  // namespace reachhoist::placement
--- a/src/placement/gang_preemptor.hpp
+++ b/src/placement/gang_preemptor.hpp
@@ -1,4 +1,4 @@
-// Preemption for gangs: capacity for all tasks of a gang at once, in the zone where that costs least.
+// Preemption for gangs: frees capacity for all tasks of a gang at once, in the zone where that costs least.
 #pragma once
 
 #include <cstdint>
@@ -9,43 +9,45 @@
 
 namespace reachhoist::placement {
 
-// Preempts for whole gangs, by rank and for fair shares. Does not own the state.
+// Preempts attempts for whole gangs, by rank and for fair shares. Does not own the state.
 class GangPreemptor {
  public:
   explicit GangPreemptor(RoundState& state) : state_(state) {}
 
-  // Preempts so that the whole gang fits, in the cheapest zone; nothing if it still would not fit, or if
-  // capacity for it will be freed anyway.
+  // Preempts attempts in the cheapest zone so that the whole gang fits there. Preempts nothing if the gang
+  // would still not fit, or if attempts that are being stopped will free enough capacity for it.
   void preemptFor(const Job& job);
 
  private:
-  // The reasons for which attempts may be preempted for the gang.
-  struct Claim {
-    bool guaranteed = false;  // the gang is within its team's guarantee
-    bool forShare = false;    // its group is below its entitlement
+  // The grounds on which attempts can be preempted for the gang.
+  struct Grounds {
+    bool isGuaranteed = false;  // the gang is within its team's guarantee
+    bool isForShare = false;  // the gang's group is below its entitlement, and this round can reclaim for it
   };
-  // Victims on one bin that free capacity for one more task or several. The options of a bin build on each
-  // other and cost more and more, so that a later one is never chosen before an earlier one.
+  // Victims on one bin that free capacity for at least one more task. The options of a bin build on each
+  // other, and no option costs less than the one before it, so that a later one is never chosen before an
+  // earlier one.
   struct Option {
     double costS = 0;
     Bin* bin = nullptr;
     Victims victims;
   };
-  // What one zone offers to a gang.
-  struct ZoneOffer {
-    std::uint32_t fittingTasks = 0;  // without preemptions, once attempts that are being stopped have ended
+  // The capacity and the options for a gang in one zone.
+  struct ZoneOptions {
+    std::uint32_t fittingTasks = 0;  // without preemptions, after attempts that are being stopped have ended
     std::vector<Option> options;
   };
-  // What a bin holds that matters to a gang.
-  struct BinOffer {
-    wire::Resources capacity;  // free once attempts that are being stopped have ended
+  // The capacity and the possible victims for a gang on one bin.
+  struct BinCandidates {
+    wire::Resources capacity;  // free after attempts that are being stopped have ended
     Victims candidates;
   };
-  ZoneOffer offerOf(const std::string& zone, const Job& job, const Claim& claim) const;
-  BinOffer offerOf(const Bin& bin, const Job& job, const Claim& claim) const;
-  void addOptions(Bin& bin, const Job& job, const Claim& claim, ZoneOffer& offer) const;
-  // Lets the groups of the victims give up their shares; all of them, or none if one group may not.
-  bool giveShares(const Job& job, const Claim& claim, const std::vector<Option>& options);
+  ZoneOptions findZoneOptions(const std::string& zone, const Job& job, const Grounds& grounds) const;
+  BinCandidates findBinCandidates(const Bin& bin, const Job& job, const Grounds& grounds) const;
+  void addOptions(Bin& bin, const Job& job, const Grounds& grounds, ZoneOptions& zoneOptions) const;
+  // Reclaims the victims that cannot be preempted by rank from their groups' shares. Reclaims nothing and
+  // returns false if any of them cannot be reclaimed.
+  bool reclaimShares(const Job& job, const Grounds& grounds, const std::vector<Option>& options);
   void preempt(const std::vector<Option>& options);
 
   RoundState& state_;
--- a/src/placement/job_order.cpp
+++ b/src/placement/job_order.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-QueuedJob queue(const RoundState& state, Job& job) {
-  if (job.spec.priority >= wire::Priority::high) return QueuedJob{&job, JobTier::byPriority, 0};
+QueuedJob toQueuedJob(const RoundState& state, Job& job) {
+  if (job.spec.priority >= wire::Priority::high) return QueuedJob{&job, JobTier::highPriority, 0};
   const SloOutlook outlook = sloOutlook(job, state.input.settings, state.input.wallClockMs);
   if (state.isWithinGuarantee(job.spec.ref.text))
     return QueuedJob{&job, JobTier::guaranteed, outlook.latestStartMs};
-  const bool starved = (state.shareAccount && state.shareAccount->mustKeepRunning(job)) ||
-                       state.input.now - job.lastPlacedAt > constants::kStarvationTimeout;
-  if (starved) return QueuedJob{&job, JobTier::starved, job.acceptedAtMs};
+  const bool isStarved = (state.shareAccount && state.shareAccount->lacksGuaranteedTask(job)) ||
+                         state.input.now - job.lastPlacedAt > constants::kStarvationTimeout;
+  if (isStarved) return QueuedJob{&job, JobTier::starved, job.acceptedAtMs};
   const JobTier tier = outlook.reachable ? JobTier::sloReachable : JobTier::sloUnreachable;
   return QueuedJob{&job, tier, outlook.latestStartMs};
 }
 
 bool isServedBefore(const QueuedJob& a, const QueuedJob& b) {
   if (a.tier != b.tier) return a.tier < b.tier;
-  // A job that may preempt another by rank also goes before it. Otherwise the preempted job would take the
-  // freed capacity, round after round.
-  if (a.mayPreemptByRank() && a.job->spec.priority != b.job->spec.priority)
+  // A job that can preempt another by rank goes before it. Otherwise the preempted job would take the freed
+  // capacity in every round.
+  if (a.canPreemptByRank() && a.job->spec.priority != b.job->spec.priority)
     return a.job->spec.priority > b.job->spec.priority;
   if (a.latestStartMs != b.latestStartMs) return a.latestStartMs < b.latestStartMs;
   return a.job->acceptedAtMs < b.job->acceptedAtMs;
@@ -36,7 +36,7 @@
 std::vector<QueuedJob> orderJobs(const RoundState& state) {
   std::vector<QueuedJob> order;
   order.reserve(state.input.waitingJobs.size());
-  for (Job* job : state.input.waitingJobs) order.push_back(queue(state, *job));
+  for (Job* job : state.input.waitingJobs) order.push_back(toQueuedJob(state, *job));
   std::stable_sort(order.begin(), order.end(), isServedBefore);
   return order;
 }
--- a/src/placement/job_order.hpp
+++ b/src/placement/job_order.hpp
@@ -8,23 +8,23 @@
 
 namespace reachhoist::placement {
 
-// What is served first.
+// The tiers of waiting jobs, in the order in which they are served.
 enum class JobTier {
-  byPriority,     // priority high or above, by priority
-  guaranteed,     // within the team's guarantee
-  starved,        // no task of it was started for long
-  sloReachable,   // some SLO can still be met; earliest deadline first
-  sloUnreachable  // none can be met; oldest first
+  highPriority,   // jobs of priority high or above; the highest priority goes first
+  guaranteed,     // jobs within their team's guarantee
+  starved,        // jobs of which no task has started for long
+  sloReachable,   // jobs that can still meet an SLO; ordered by latest start time
+  sloUnreachable  // jobs that can meet no SLO any more; the oldest goes first
 };
 
-// A waiting job with its sort key, which is computed once a round.
+// A waiting job with its sort key, which is computed once in a round.
 struct QueuedJob {
   Job* job;
   JobTier tier;
-  std::int64_t latestStartMs;  // wall clock; within a tier, earlier ones go first
+  std::int64_t latestStartMs;  // wall clock; within a tier, the job with the earliest time goes first
 
-  // Whether the job may preempt others by priority or for its team's guarantee.
-  bool mayPreemptByRank() const { return tier <= JobTier::starved; }
+  // Whether the job can preempt attempts of other jobs by priority or for its team's guarantee.
+  bool canPreemptByRank() const { return tier <= JobTier::starved; }
 };
 
 // The waiting jobs in the order in which they are served.
--- a/src/placement/pending_capacity.cpp
+++ b/src/placement/pending_capacity.cpp
@@ -1,25 +1,25 @@
-// Capacity that will be freed; see pending_capacity.hpp.
+// Capacity that attempts which are being stopped will free; see pending_capacity.hpp.
 #include "placement/pending_capacity.hpp"
 
 namespace reachhoist::placement {
 
 namespace {
 
-std::uint32_t promiseOn(Bin& bin, const Job& job, std::uint32_t tasks) {
-  if (tasks == 0 || !bin.hasStoppingAttempts || !isUsable(bin, job)) return 0;
+std::uint32_t promiseOn(Bin& bin, const Job& job, std::uint32_t taskCount) {
+  if (taskCount == 0 || !bin.hasStoppingAttempts || !isUsable(bin, job)) return 0;
   wire::Resources capacity = bin.unpromisedCapacity();
-  std::uint32_t pending = 0;
-  for (; pending < tasks && job.spec.taskResources.fitsIn(capacity); ++pending) {
+  std::uint32_t pendingTasks = 0;
+  for (; pendingTasks < taskCount && job.spec.taskResources.fitsIn(capacity); ++pendingTasks) {
     capacity -= job.spec.taskResources;
-    bin.promised += job.spec.taskResources;
+    bin.promisedCapacity += job.spec.taskResources;
   }
-  return pending;
+  return pendingTasks;
 }
 
 }  // namespace
 
 std::uint32_t countPendingCapacity(const RoundState& state, const Job& job) {
-  std::uint32_t pending = 0;
+  std::uint32_t pendingTasks = 0;
   for (const Bin& bin : state.bins) {
     if (!bin.hasStoppingAttempts || !isUsable(bin, job)) continue;
     wire::Resources capacity = bin.freeCapacity;
@@ -27,17 +27,17 @@
       if (attempt.holdsCapacity() && attempt.stopRequested) capacity += attempt.resources;
     while (job.spec.taskResources.fitsIn(capacity)) {
       capacity -= job.spec.taskResources;
-      ++pending;
+      ++pendingTasks;
     }
   }
-  return pending;
+  return pendingTasks;
 }
 
-std::uint32_t promisePendingCapacity(RoundState& state, const Job& job, std::uint32_t tasks) {
-  std::uint32_t pending = 0;
-  for (auto* bins : {&state.bins, &state.busyBins})
-    for (Bin& bin : *bins) pending += promiseOn(bin, job, tasks - pending);
-  return pending;
+std::uint32_t promisePendingCapacity(RoundState& state, const Job& job, std::uint32_t taskCount) {
+  std::uint32_t pendingTasks = 0;
+  for (auto* bins : {&state.bins, &state.binsInTransaction})
+    for (Bin& bin : *bins) pendingTasks += promiseOn(bin, job, taskCount - pendingTasks);
+  return pendingTasks;
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/pending_capacity.hpp
+++ b/src/placement/pending_capacity.hpp
@@ -1,5 +1,5 @@
-// Capacity that attempts which are being stopped will free. It counts before more is preempted: otherwise
-// every round would preempt more for the same task.
+// Pending capacity: the capacity that attempts which are being stopped will free. A round uses it before it
+// preempts more attempts. Otherwise every round would preempt more attempts for the same task.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace reachhoist::placement {
 
-// Tasks of the job for which capacity will be freed, with no regard to other jobs.
+// Returns for how many tasks of the job there will be pending capacity, regardless of other jobs.
 std::uint32_t countPendingCapacity(const RoundState& state, const Job& job);
 
-// Up to so many tasks of the job for which capacity will be freed that no other job counts on. Promises that
-// capacity to the job: nothing is preempted twice for one claim.
-std::uint32_t promisePendingCapacity(RoundState& state, const Job& job, std::uint32_t tasks);
+// Promises pending capacity to up to `taskCount` tasks of the job and returns their number. Capacity that is
+// already promised does not count, so that attempts are not preempted twice for one claim.
+std::uint32_t promisePendingCapacity(RoundState& state, const Job& job, std::uint32_t taskCount);
 
 }  // namespace reachhoist::placement
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -1,4 +1,4 @@
-// Placement rules that do not need a round's state; see planner.hpp.
+// Placement rules that do not depend on the state of a round; see planner.hpp.
 #include "placement/planner.hpp"
 
 #include <algorithm>
@@ -16,15 +16,15 @@
   return job.allowsMachineType(machineType);
 }
 
-bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placed,
+bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placedByZone,
                       const std::string& zone) {
   if (job.singleZone) {
-    for (const auto& [other, count] : placed)
-      if (count > 0 && other != zone) return false;
+    for (const auto& [placedZone, count] : placedByZone)
+      if (count > 0 && placedZone != zone) return false;
   }
   if (job.spreadZones) {
-    const auto found = placed.find(zone);
-    if (found != placed.end() && found->second >= (job.taskCount + 1) / 2) return false;
+    const auto found = placedByZone.find(zone);
+    if (found != placedByZone.end() && found->second >= (job.taskCount + 1) / 2) return false;
   }
   return true;
 }
@@ -32,22 +32,22 @@
 std::unordered_set<std::string> guaranteedJobs(const config::Settings& settings,
                                                const std::vector<const Job*>& openJobs) {
   std::unordered_set<std::string> guaranteed;
-  std::unordered_map<std::string_view, std::vector<const Job*>> byTeam;
-  for (const Job* job : openJobs) byTeam[job->spec.team].push_back(job);
+  std::unordered_map<std::string_view, std::vector<const Job*>> jobsByTeam;
+  for (const Job* job : openJobs) jobsByTeam[job->spec.team].push_back(job);
   for (const config::Team& team : settings.teams) {
     if (team.cpus <= 0 && team.gpus <= 0) continue;
-    const auto found = byTeam.find(team.name);
-    if (found == byTeam.end()) continue;
+    const auto found = jobsByTeam.find(team.name);
+    if (found == jobsByTeam.end()) continue;
     auto& jobs = found->second;
     std::sort(jobs.begin(), jobs.end(),
               [](const Job* a, const Job* b) { return a->acceptedAtMs < b->acceptedAtMs; });
-    TeamUsage sum;
+    TeamUsage usage;
     for (const Job* job : jobs) {
-      const double unfinished = job->spec.taskCount - job->completedCount;
-      sum.cpus += job->spec.taskResources.vcpus * unfinished;
-      sum.gpus += job->spec.taskResources.accelerators * unfinished;
-      if (sum.cpus > team.cpus + constants::kResourceRounding ||
-          sum.gpus > team.gpus + constants::kResourceRounding)
+      const double unfinishedCount = job->spec.taskCount - job->completedCount;
+      usage.cpus += job->spec.taskResources.vcpus * unfinishedCount;
+      usage.gpus += job->spec.taskResources.accelerators * unfinishedCount;
+      if (usage.cpus > team.cpus + constants::kResourceRounding ||
+          usage.gpus > team.gpus + constants::kResourceRounding)
         break;
       guaranteed.insert(job->spec.ref.text);
     }
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -1,5 +1,5 @@
-// Placement planning: which waiting task goes to which machine, and which attempts are preempted for others.
-// Decisions only: nothing here changes jobs or machines.
+// Placement planning: decides which waiting task goes to which machine, and which attempts are preempted for
+// other tasks. Planning does not change jobs or machines.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,22 @@
 using machines::Machine;
 using wire::Time;
 
-// A task that is to start on a machine.
+// The decision to start a task on a machine.
 struct Assignment {
   Job* job = nullptr;
   std::uint32_t taskIndex = 0;
   Machine* machine = nullptr;
 };
 
-// An attempt that is to be stopped to free capacity for other work.
+// The decision to stop an attempt and so to free capacity for other tasks.
 struct Preemption {
   Machine* machine = nullptr;
   wire::TaskId task;
   std::uint64_t attemptNumber = 0;
-  double gracePeriodS = 0;  // time that the stop allows for a checkpoint
+  double gracePeriodS = 0;  // time that the stop command allows for a checkpoint
 };
 
-// Tasks of a job for which there was no capacity; input to the sizing of the fleet.
+// Tasks of a job that found no capacity; input to the sizing of the fleet.
 struct UnplacedDemand {
   const Job* job = nullptr;
   std::uint32_t tasks = 0;
@@ -43,42 +43,43 @@
   std::vector<Assignment> assignments;
   std::vector<Preemption> preemptions;
   std::vector<UnplacedDemand> unplaced;
-  bool triedSharePreemption = false;  // the round looked for attempts to preempt for fair shares
-  std::size_t sharePreemptions = 0;   // of the preemptions, those for fair shares; a gang counts once
+  bool triedSharePreemption = false;  // the round searched for attempts to preempt for fair shares
+  std::size_t sharePreemptions = 0;   // number of preemptions for fair shares; a preempted gang counts once
 };
 
-// The input of one placement round. All that it points to must outlive the round and its plan.
+// The input of one placement round. Everything that it points to must outlive the round and its plan.
 struct SchedulingInput {
   const config::Settings& settings;
   Time now{};
-  std::int64_t wallClockMs = 0;      // wall clock, milliseconds since the epoch
+  std::int64_t wallClockMs = 0;      // milliseconds since the epoch
   std::vector<Job*> waitingJobs;     // open jobs with waiting tasks
   std::vector<const Job*> openJobs;  // all open jobs
-  std::vector<Machine*> machines;    // all that are not terminated
-  std::size_t maxJobs = 30;          // jobs that may get tasks: each is a condition of the transaction
+  std::vector<Machine*> machines;    // all machines that are not terminated
+  std::size_t maxJobs = 30;          // jobs that can get tasks; each needs a condition in the transaction
   std::size_t maxTasks = constants::kMaxTasksPerRound;
   std::size_t maxPreemptions = constants::kMaxStopsPerRound;
-  const shares::Table* shares = nullptr;  // null: no fair shares
-  bool canPreemptForShares = false;       // whether this round may preempt for fair shares
+  const shares::Table* shares = nullptr;  // null if fair shares are off
+  bool canPreemptForShares = false;       // whether this round can preempt attempts for fair shares
 };
 
-// Decides one placement round.
+// Plans one placement round.
 PlacementPlan planPlacements(const SchedulingInput& input);
 
-// Whether machines of this kind may run the job at all, whatever its other tasks do.
+// Whether machines of this type, zone and market can run tasks of the job, regardless of its placed tasks.
 bool isEligible(const wire::JobSpec& job, const std::string& machineType, const std::string& zone, bool spot);
 
-// Whether one more task may go to the zone under the job's zone rules (`singleZone`, `spreadZones`), given
-// the number of its placed tasks by zone.
-bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placed,
+// Whether the job's zone rules (`singleZone`, `spreadZones`) allow one more task in the zone, given the
+// number of its placed tasks by zone.
+bool zoneSpreadAllows(const wire::JobSpec& job, const std::map<std::string, std::uint32_t>& placedByZone,
                       const std::string& zone);
 
-// References of the jobs within their team's guarantee: those that fit into it together with the team's
-// earlier unfinished jobs.
+// The references of the jobs within their team's guarantee. A job is within the guarantee if it fits into it
+// together with the team's unfinished jobs that were accepted earlier.
 std::unordered_set<std::string> guaranteedJobs(const config::Settings& settings,
                                                const std::vector<const Job*>& openJobs);
 
-// Which jobs are served before fair shares apply: those of high priority, and those within a guarantee.
+// The jobs that are exempt from fair shares: those of high priority or above, and those within their team's
+// guarantee.
 shares::ShareExemption shareExemption(const config::Settings& settings,
                                       const std::vector<const Job*>& openJobs);
 
--- a/src/placement/preemption_rules.cpp
+++ b/src/placement/preemption_rules.cpp
@@ -1,4 +1,4 @@
-// Which attempts may be preempted, and what that loses; see preemption_rules.hpp.
+// Rules of preemption; see preemption_rules.hpp.
 #include "placement/preemption_rules.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kPreemptionCostS = 1.0;  // of any preemption: fewer victims are better
+constexpr double kPreemptionCostS = 1.0;  // added for each victim, so that fewer victims cost less
 
 bool isPreemptible(const machines::Attempt& attempt) {
   using machines::AttemptPhase;
@@ -18,33 +18,33 @@
 
 }  // namespace
 
-bool mayPreemptByRank(const RoundState& state, const Job& job, bool guaranteed,
+bool canPreemptByRank(const RoundState& state, const Job& job, bool isGuaranteed,
                       const machines::Attempt& attempt) {
   if (!isPreemptible(attempt)) return false;
-  const bool attemptGuaranteed = state.isWithinGuarantee(attempt.task.job.text);
-  if (attemptGuaranteed && !guaranteed) return false;
+  const bool isAttemptGuaranteed = state.isWithinGuarantee(attempt.task.job.text);
+  if (isAttemptGuaranteed && !isGuaranteed) return false;
   if (attempt.priority < job.spec.priority) return true;
-  return guaranteed && !attemptGuaranteed && attempt.priority <= job.spec.priority &&
+  return isGuaranteed && !isAttemptGuaranteed && attempt.priority <= job.spec.priority &&
          attempt.team != job.spec.team && state.quotas.exceedsGuarantee(attempt.team);
 }
 
-bool mayPreemptAnyByRank(const RoundState& state, const Job& job) {
+bool canPreemptAnyByRank(const RoundState& state, const Job& job) {
   if (job.spec.priority > state.lowestPriority) return true;
-  return state.isWithinGuarantee(job.spec.ref.text) && state.anyTeamOverGuarantee;
+  return state.isWithinGuarantee(job.spec.ref.text) && state.hasTeamOverGuarantee;
 }
 
-bool mayPreemptForShare(const RoundState& state, const Job& job, const machines::Attempt& attempt) {
+bool canPreemptForShare(const RoundState& state, const Job& job, const machines::Attempt& attempt) {
   return isPreemptible(attempt) && !state.isPreempted(attempt) && attempt.priority <= job.spec.priority &&
-         state.shareAccount->mayReclaim(attempt);
+         state.shareAccount->canReclaim(attempt);
 }
 
 double lostWorkS(const RoundState& state, const machines::Attempt& attempt) {
   // Preempting one task of a gang stops the whole gang.
   if (attempt.isGangMember) {
-    const bool unreachable = state.unreachableGangs.contains(attempt.number);
-    const double stopS =
-        unreachable ? constants::kUnreachableGangPreemptionCostS : constants::kGangPreemptionCostS;
-    return stopS + wire::toSeconds(state.input.now - attempt.placedAt);
+    const bool isUnreachable = state.unreachableGangs.contains(attempt.number);
+    const double gangCostS =
+        isUnreachable ? constants::kUnreachableGangPreemptionCostS : constants::kGangPreemptionCostS;
+    return gangCostS + wire::toSeconds(state.input.now - attempt.placedAt);
   }
   if (attempt.phase != machines::AttemptPhase::running) return 0;
   return attempt.canCheckpoint ? attempt.checkpointDurationS
--- a/src/placement/preemption_rules.hpp
+++ b/src/placement/preemption_rules.hpp
@@ -1,4 +1,4 @@
-// Which attempts may be preempted for a job, and what the preemption loses.
+// Rules of preemption: which attempts can be preempted for a job, and how much work that loses.
 #pragma once
 
 #include <vector>
@@ -9,24 +9,27 @@
 
 using Victims = std::vector<const machines::Attempt*>;
 
-// Whether the attempt may be preempted for the job by rank: it has a lower priority; or, if the job is within
-// its team's guarantee (`guaranteed`), it belongs to another team that exceeds its own.
-bool mayPreemptByRank(const RoundState& state, const Job& job, bool guaranteed,
+// Whether the attempt can be preempted for the job by rank. It can if its priority is lower than the job's.
+// If the job is within its team's guarantee (`isGuaranteed`), the attempt can also be preempted at the same
+// priority if it belongs to another team that exceeds its own guarantee. An attempt of a job within a
+// guarantee can be preempted only for another such job.
+bool canPreemptByRank(const RoundState& state, const Job& job, bool isGuaranteed,
                       const machines::Attempt& attempt);
 
-// Whether any attempt may be preempted for the job by rank; a quick check before a search.
-bool mayPreemptAnyByRank(const RoundState& state, const Job& job);
+// Whether any attempt can possibly be preempted for the job by rank: a quick check before the search.
+bool canPreemptAnyByRank(const RoundState& state, const Job& job);
 
-// Whether the attempt may be preempted for the sake of fair shares. Needs a share account.
-bool mayPreemptForShare(const RoundState& state, const Job& job, const machines::Attempt& attempt);
+// Whether the attempt can be preempted for fair shares in favour of the job. The state must have a share
+// account.
+bool canPreemptForShare(const RoundState& state, const Job& job, const machines::Attempt& attempt);
 
-// Seconds of work that preempting the attempt loses.
+// The work that preempting the attempt loses.
 double lostWorkS(const RoundState& state, const machines::Attempt& attempt);
 
-// Cost of preempting the attempt, in seconds: the lost work, and a little for the preemption itself.
+// The cost of preempting the attempt: the lost work, and a small cost of the preemption itself.
 double preemptionCostS(const RoundState& state, const machines::Attempt& attempt);
 
-// Sorts by priority, and within one priority by lost work.
+// Sorts the victims by priority, and by lost work within one priority.
 void sortByRankAndLoss(const RoundState& state, Victims& victims);
 
 }  // namespace reachhoist::placement
--- a/src/placement/rank_preemptor.cpp
+++ b/src/placement/rank_preemptor.cpp
@@ -7,37 +7,39 @@
 
 namespace reachhoist::placement {
 
-std::uint32_t RankPreemptor::preemptFor(const Job& job, std::uint32_t tasks) {
-  if (!mayPreemptAnyByRank(state_, job)) return 0;
-  const bool guaranteed = state_.isWithinGuarantee(job.spec.ref.text);
-  std::uint32_t covered =
-      state_.shareAccount ? promisePendingCapacity(state_, job, tasks) : countPendingCapacity(state_, job);
-  for (; covered < tasks && state_.plan.preemptions.size() < state_.input.maxPreemptions; ++covered)
-    if (!preemptForOneTask(job, guaranteed)) break;
-  return covered;
+std::uint32_t RankPreemptor::preemptFor(const Job& job, std::uint32_t taskCount) {
+  if (!canPreemptAnyByRank(state_, job)) return 0;
+  const bool isGuaranteed = state_.isWithinGuarantee(job.spec.ref.text);
+  std::uint32_t coveredTasks = state_.shareAccount ? promisePendingCapacity(state_, job, taskCount)
+                                                   : countPendingCapacity(state_, job);
+  for (; coveredTasks < taskCount && state_.plan.preemptions.size() < state_.input.maxPreemptions;
+       ++coveredTasks)
+    if (!preemptForOneTask(job, isGuaranteed)) break;
+  return coveredTasks;
 }
 
-bool RankPreemptor::preemptForOneTask(const Job& job, bool guaranteed) {
-  std::optional<Candidate> best;
+bool RankPreemptor::preemptForOneTask(const Job& job, bool isGuaranteed) {
+  std::optional<Candidate> cheapest;
   for (Bin& bin : state_.bins) {
-    std::optional<Candidate> candidate = findCandidate(bin, job, guaranteed);
-    if (candidate && (!best || candidate->costS < best->costS)) best = std::move(candidate);
+    std::optional<Candidate> candidate = findCandidate(bin, job, isGuaranteed);
+    if (candidate && (!cheapest || candidate->costS < cheapest->costS)) cheapest = std::move(candidate);
   }
-  if (!best) return false;
-  preempt(job, *best);
+  if (!cheapest) return false;
+  preempt(job, *cheapest);
   return true;
 }
 
 std::optional<RankPreemptor::Candidate> RankPreemptor::findCandidate(Bin& bin, const Job& job,
-                                                                     bool guaranteed) const {
+                                                                     bool isGuaranteed) const {
   const Machine& machine = *bin.machine;
-  // On most machines no attempt has a low enough rank. This check skips them before a look at their attempts.
+  // On most machines no attempt has a low enough rank. These checks skip such machines without a search of
+  // their attempts.
   if (bin.lowestPriority > job.spec.priority) return std::nullopt;
-  if (bin.lowestPriority == job.spec.priority && !guaranteed) return std::nullopt;
+  if (bin.lowestPriority == job.spec.priority && !isGuaranteed) return std::nullopt;
   if (!isUsable(bin, job) || !state_.zoneAccepts(job, machine.zone)) return std::nullopt;
   Victims ranked;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (mayPreemptByRank(state_, job, guaranteed, attempt) && !state_.isPreempted(attempt))
+    if (canPreemptByRank(state_, job, isGuaranteed, attempt) && !state_.isPreempted(attempt))
       ranked.push_back(&attempt);
   sortByRankAndLoss(state_, ranked);
   wire::Resources capacity = bin.freeCapacity;
@@ -56,11 +58,11 @@
 void RankPreemptor::preempt(const Job& job, const Candidate& candidate) {
   Bin& bin = *candidate.bin;
   for (const auto* victim : candidate.victims) {
-    if (state_.shareAccount) state_.shareAccount->release(*victim);
+    if (state_.shareAccount) state_.shareAccount->recordStop(*victim);
     bin.freeCapacity += victim->resources;
     state_.preempt(*bin.machine, *victim);
   }
-  // The freed capacity is kept for the task that it was freed for.
+  // The capacity is reserved for the task for which it is freed.
   bin.freeCapacity -= job.spec.taskResources;
   state_.countInZone(job, bin.machine->zone);
 }
--- a/src/placement/rank_preemptor.hpp
+++ b/src/placement/rank_preemptor.hpp
@@ -1,4 +1,4 @@
-// Preemption by rank: for higher priority, or to give a team what it is guaranteed.
+// Preemption by rank: for a job of higher priority, or for a job within its team's guarantee.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,15 @@
 
 namespace reachhoist::placement {
 
-// Preempts lower-ranked attempts for single tasks. Does not own the state.
+// Preempts attempts of lower rank for single tasks. Does not own the state.
 class RankPreemptor {
  public:
   explicit RankPreemptor(RoundState& state) : state_(state) {}
 
-  // Preempts for so many tasks of the job, as far as rank and the round's limit allow. Returns for how many
-  // of them there is capacity now or soon.
-  std::uint32_t preemptFor(const Job& job, std::uint32_t tasks);
+  // Preempts attempts for up to `taskCount` tasks of the job, as far as rank and the round's limit allow.
+  // Returns for how many of these tasks attempts that are being stopped, or that are now preempted, free the
+  // capacity.
+  std::uint32_t preemptFor(const Job& job, std::uint32_t taskCount);
 
  private:
   // The victims on one bin that free capacity for one task.
@@ -24,8 +25,8 @@
     Victims victims;
     double costS = 0;
   };
-  bool preemptForOneTask(const Job& job, bool guaranteed);
-  std::optional<Candidate> findCandidate(Bin& bin, const Job& job, bool guaranteed) const;
+  bool preemptForOneTask(const Job& job, bool isGuaranteed);
+  std::optional<Candidate> findCandidate(Bin& bin, const Job& job, bool isGuaranteed) const;
   void preempt(const Job& job, const Candidate& candidate);
 
   RoundState& state_;
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Tasks of the job that one round may start: of a starved job only a part, so that all starved jobs get some.
+// The number of tasks of the job that one round can start. Of a starved job it is only a part, so that all
+// starved jobs get some capacity.
 std::uint32_t tasksPerRound(const QueuedJob& queued) {
   const std::uint32_t waiting = queued.job->waitingCount;
   return queued.tier == JobTier::starved ? std::max(1U, waiting / constants::kStarvedJobDivisor) : waiting;
@@ -17,7 +18,11 @@
 }  // namespace
 
 Round::Round(const SchedulingInput& input)
-    : state_(input), tasks_(state_), gangs_(state_), rankPreemptor_(state_), sharePreemptor_(state_) {}
+    : state_(input),
+      taskPlacer_(state_),
+      gangPlacer_(state_),
+      rankPreemptor_(state_),
+      sharePreemptor_(state_) {}
 
 PlacementPlan Round::run() {
   for (const QueuedJob& queued : orderJobs(state_)) placeJob(queued);
@@ -30,32 +35,33 @@
   if (job.waitingCount == 0) return;
   if (std::max(job.backoffUntil, job.failures.backoffUntil()) > state_.input.now) return;
   const PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
-  // A starved job of which nothing runs gets a start even if its group has reached its fair share.
-  const bool mustStart = queued.tier == JobTier::starved && job.placedCount == 0;
-  if (!mustStart && !state_.isWithinShare(job)) {
+  // A starved job without a placed task starts a task even if its group has reached its fair share.
+  const bool needsFirstTask = queued.tier == JobTier::starved && job.placedCount == 0;
+  if (!needsFirstTask && !state_.isWithinShare(job)) {
     deferredJobs_.push_back(DeferredJob{queued, progress});
     return;
   }
-  if (job.isGang()) return gangs_.place(job);
+  if (job.isGang()) return gangPlacer_.place(job);
   if (job.failures.jobAtFault()) return retryJobAtFault(job);
-  placeTasks(queued, progress, mustStart ? ShareUse::oneBeyond : ShareUse::withinShare);
+  placeTasks(queued, progress, needsFirstTask ? ShareUse::oneTaskBeyondShare : ShareUse::withinShare);
 }
 
 void Round::placeTasks(const QueuedJob& queued, PlacementProgress progress, ShareUse use) {
   Job& job = *queued.job;
-  const std::uint32_t most = tasksPerRound(queued);
-  placeUpTo(job, most, use, progress);
-  const std::uint32_t left = job.waitingCount - progress.placed;
-  if (left == 0 || progress.limit == PlacementLimit::teamQuota) return;
+  const std::uint32_t taskLimit = tasksPerRound(queued);
+  placeUpTo(job, taskLimit, use, progress);
+  const std::uint32_t remaining = job.waitingCount - progress.placedCount;
+  if (remaining == 0 || progress.limit == PlacementLimit::teamQuota) return;
   if (progress.limit == PlacementLimit::fairShare) {
     deferredJobs_.push_back(DeferredJob{queued, progress});
     return;
   }
-  const std::uint32_t unplaced = addUnplaced(job, left);
+  const std::uint32_t unplaced = addUnplaced(job, remaining);
   if (unplaced == 0 || state_.plan.assignments.size() >= state_.input.maxTasks) return;
-  const std::uint32_t wanted = std::min(unplaced, most);
-  const std::uint32_t covered = queued.mayPreemptByRank() ? rankPreemptor_.preemptFor(job, wanted) : 0;
-  if (state_.shareAccount) sharePreemptor_.preemptFor(job, wanted, covered);
+  const std::uint32_t requested = std::min(unplaced, taskLimit);
+  const std::uint32_t coveredTasks =
+      queued.canPreemptByRank() ? rankPreemptor_.preemptFor(job, requested) : 0;
+  if (state_.shareAccount) sharePreemptor_.preemptFor(job, requested, coveredTasks);
 }
 
 void Round::retryJobAtFault(Job& job) {
@@ -64,21 +70,22 @@
   placeUpTo(job, constants::kFaultyJobTrialTasks - job.placedCount, ShareUse::withinShare, progress);
 }
 
-void Round::placeUpTo(Job& job, std::uint32_t most, ShareUse use, PlacementProgress& progress) {
-  if (!state_.mayPlaceAnotherJob()) return;
-  const std::uint32_t before = progress.placed;
-  tasks_.place(job, most, use, progress);
-  if (progress.placed > before) ++state_.placedJobs;
+void Round::placeUpTo(Job& job, std::uint32_t taskLimit, ShareUse use, PlacementProgress& progress) {
+  if (!state_.canPlaceAnotherJob()) return;
+  const std::uint32_t placedBefore = progress.placedCount;
+  taskPlacer_.place(job, taskLimit, use, progress);
+  if (progress.placedCount > placedBefore) ++state_.placedJobCount;
 }
 
-std::uint32_t Round::addUnplaced(const Job& job, std::uint32_t tasks) {
-  const std::uint32_t unplaced = state_.quotas.tasksWithinLimit(job, tasks);
+std::uint32_t Round::addUnplaced(const Job& job, std::uint32_t taskCount) {
+  const std::uint32_t unplaced = state_.quotas.tasksWithinLimit(job, taskCount);
   if (unplaced > 0) state_.plan.unplaced.push_back(UnplacedDemand{&job, unplaced});
   return unplaced;
 }
 
 void Round::placeDeferredJobs() {
-  // Computed once: no job takes capacity on awaited bins, and on the others capacity only shrinks.
+  // It is enough to compute this once: deferred jobs take no capacity on awaited bins, and on the other bins
+  // the capacity only shrinks.
   for (Bin& bin : state_.bins) bin.awaited = isAwaited(bin);
   for (const DeferredJob& deferred : std::exchange(deferredJobs_, {}))
     placeDeferredJob(deferred.queued, deferred.progress);
@@ -87,18 +94,18 @@
 void Round::placeDeferredJob(const QueuedJob& queued, PlacementProgress progress) {
   Job& job = *queued.job;
   if (job.isGang()) {
-    if (state_.entitledJobs.empty()) return gangs_.place(job);
+    if (state_.entitledJobs.empty()) return gangPlacer_.place(job);
     state_.plan.unplaced.push_back(UnplacedDemand{&job, job.spec.taskCount});
     return;
   }
   if (job.failures.jobAtFault()) return;
   progress.limit = PlacementLimit::none;
-  const std::uint32_t most = tasksPerRound(queued);
-  placeUpTo(job, most - std::min(progress.placed, most), ShareUse::leftoverCapacity, progress);
+  const std::uint32_t taskLimit = tasksPerRound(queued);
+  placeUpTo(job, taskLimit - std::min(progress.placedCount, taskLimit), ShareUse::leftoverCapacity, progress);
   if (progress.limit == PlacementLimit::teamQuota) return;
-  // The rest counts as unplaced as usual: the fleet scales out for all waiting work, while fair shares divide
-  // the present capacity.
-  addUnplaced(job, job.waitingCount - progress.placed);
+  // The remaining tasks count as unplaced demand like those of other jobs: the fleet scales out for all
+  // waiting tasks, while fair shares divide the present capacity.
+  addUnplaced(job, job.waitingCount - progress.placedCount);
 }
 
 bool Round::isAwaited(const Bin& bin) const {
--- a/src/placement/round.hpp
+++ b/src/placement/round.hpp
@@ -1,4 +1,4 @@
-// One placement round. Internal to the package; `planner.hpp` is what others use.
+// One placement round. Internal to the package; other packages use `planner.hpp`.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace reachhoist::placement {
 
-// Places the waiting jobs in their order, and preempts for those that find no capacity.
+// Places the waiting jobs in their order, and preempts attempts for jobs that find no capacity.
 class Round {
  public:
   // `input` must outlive the round.
@@ -21,34 +21,36 @@
   Round(const Round&) = delete;
   Round& operator=(const Round&) = delete;
 
-  // Decides on all waiting jobs. To be called once.
+  // Plans all waiting jobs. Must be called only once.
   PlacementPlan run();
 
  private:
-  // A job whose group has reached its fair share; it is placed last.
+  // A job whose group has reached its fair share. It is placed after all others.
   struct DeferredJob {
     QueuedJob queued;
     PlacementProgress progress;
   };
   void placeJob(const QueuedJob& queued);
-  // Places tasks of a job that is not a gang; adds the rest to the unplaced demand and preempts for it.
+  // Places tasks of a job that is not a gang, adds the rest to the unplaced demand and preempts attempts for
+  // it.
   void placeTasks(const QueuedJob& queued, PlacementProgress progress, ShareUse use);
-  // A few tasks of a job that is at fault, where there is capacity. Nothing is preempted and no instance is
-  // requested for it.
+  // Places a few tasks of a job that is at fault, where there is capacity. The round preempts no attempt and
+  // adds no unplaced demand for such a job, so that no instance is requested for it.
   void retryJobAtFault(Job& job);
-  // Jobs whose groups have reached their fair shares get the capacity that no entitled job waits for.
+  // Places the deferred jobs on the capacity that no job below its entitlement waits for.
   void placeDeferredJobs();
   void placeDeferredJob(const QueuedJob& queued, PlacementProgress progress);
   // Whether a job below its entitlement waits for capacity on the bin.
   bool isAwaited(const Bin& bin) const;
-  // Places up to `most` tasks, if the transaction has a condition left for the job.
-  void placeUpTo(Job& job, std::uint32_t most, ShareUse use, PlacementProgress& progress);
-  // Adds the tasks of the job that its team's quota lets start, and returns their number.
-  std::uint32_t addUnplaced(const Job& job, std::uint32_t tasks);
+  // Places up to `taskLimit` tasks, if the transaction has a condition left for the job.
+  void placeUpTo(Job& job, std::uint32_t taskLimit, ShareUse use, PlacementProgress& progress);
+  // Adds those of the given tasks that the team's quota allows to start to the unplaced demand, and returns
+  // their number.
+  std::uint32_t addUnplaced(const Job& job, std::uint32_t taskCount);
 
   RoundState state_;
-  TaskPlacer tasks_;
-  GangPlacer gangs_;
+  TaskPlacer taskPlacer_;
+  GangPlacer gangPlacer_;
   RankPreemptor rankPreemptor_;
   SharePreemptor sharePreemptor_;
   std::vector<DeferredJob> deferredJobs_;
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kReachableSlackS = 0.5;  // of a heartbeat that is due
+constexpr double kReachableSlackS = 0.5;  // tolerated delay of a heartbeat that is due
 
 bool hasQuota(const config::Team& team) {
   return team.cpus > 0 || team.cpusMax > 0 || team.gpus > 0 || team.gpusMax > 0;
@@ -22,39 +22,40 @@
     : input(schedulingInput), quotas(schedulingInput.settings) {
   for (const Job* job : input.waitingJobs)
     if (dependsOnZones(*job) || job->isGang()) zoneCounts[job->spec.ref.text];
-  const bool countZones = !zoneCounts.empty();
-  const bool countUsage = std::any_of(input.settings.teams.begin(), input.settings.teams.end(), hasQuota);
-  for (Machine* machine : input.machines) addMachine(*machine, countUsage, countZones);
-  anyTeamOverGuarantee = quotas.anyExceedsGuarantee();
+  const bool countsZones = !zoneCounts.empty();
+  const bool countsUsage = std::any_of(input.settings.teams.begin(), input.settings.teams.end(), hasQuota);
+  for (Machine* machine : input.machines) addMachine(*machine, countsUsage, countsZones);
+  hasTeamOverGuarantee = quotas.hasTeamOverGuarantee();
   guaranteedJobs = placement::guaranteedJobs(input.settings, input.openJobs);
-  if (input.shares != nullptr) openShareAccount();
+  if (input.shares != nullptr) createShareAccount();
 }
 
-void RoundState::addMachine(Machine& machine, bool countUsage, bool countZones) {
+void RoundState::addMachine(Machine& machine, bool countsUsage, bool countsZones) {
   Bin bin{&machine, machine.capacity, wire::Priority::prod, false, {}, {}, false, {}};
-  const bool reachable = isReachable(machine);
+  const bool isMachineReachable = isReachable(machine);
   for (const machines::Attempt& attempt : machine.attempts) {
     if (!attempt.holdsCapacity()) continue;
     bin.freeCapacity -= attempt.resources;
-    if (countUsage) quotas.add(attempt.team, attempt.resources);
-    if (countZones) {
+    if (countsUsage) quotas.add(attempt.team, attempt.resources);
+    if (countsZones) {
       const auto found = zoneCounts.find(attempt.task.job.text);
       if (found != zoneCounts.end()) found->second[machine.zone] += 1;
     }
-    if (shares::isLeaving(attempt)) bin.leaving += attempt.resources;
+    if (shares::isBeingStopped(attempt)) bin.stoppingCapacity += attempt.resources;
     if (attempt.stopRequested) {
       bin.hasStoppingAttempts = true;
     } else {
       bin.lowestPriority = std::min(bin.lowestPriority, attempt.priority);
     }
-    if (attempt.isGangMember && !reachable) unreachableGangs.insert(attempt.number);
+    if (attempt.isGangMember && !isMachineReachable) unreachableGangs.insert(attempt.number);
   }
-  anySpotMachine = anySpotMachine || machine.spot;
+  hasSpotMachine = hasSpotMachine || machine.spot;
   lowestPriority = std::min(lowestPriority, bin.lowestPriority);
-  if (takesWork(machine)) (machine.transactionInFlight ? busyBins : bins).push_back(std::move(bin));
+  if (isSchedulable(machine))
+    (machine.transactionInFlight ? binsInTransaction : bins).push_back(std::move(bin));
 }
 
-void RoundState::openShareAccount() {
+void RoundState::createShareAccount() {
   const auto isExempt = [this](const Job& job) {
     return job.spec.priority >= wire::Priority::high || isWithinGuarantee(job.spec.ref.text);
   };
@@ -63,22 +64,22 @@
       input.settings.operators.shares.reclaimStep);
 }
 
-bool RoundState::takesWork(const Machine& machine) const {
+bool RoundState::isSchedulable(const Machine& machine) const {
   if (machine.phase != machines::MachinePhase::up || machine.faults.quarantined) return false;
-  // Only machines with contact in both directions in this term take work. Records, late copies of heartbeats
-  // or contact in one direction are not enough.
+  // A machine accepts work only after contact in both directions in this term. Records, delayed copies of
+  // heartbeats and contact in one direction are not enough.
   if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > input.now) return false;
-  const auto overdue =
+  const auto maxHeartbeatAge =
       wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
-  return input.now - machine.contact.lastHeartbeatAt <= overdue && !machine.spotNoticeAt;
+  return input.now - machine.contact.lastHeartbeatAt <= maxHeartbeatAge && !machine.spotNoticeAt;
 }
 
-// Whether a command would arrive at once, by all that is known.
+// Whether a command would arrive at once, judging by the contact with the machine so far.
 bool RoundState::isReachable(const Machine& machine) const {
-  const auto overdue = wire::seconds(
+  const auto maxHeartbeatAge = wire::seconds(
       input.settings.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + kReachableSlackS);
   return machine.contact.tokenAcknowledged && !machine.contact.unreachable &&
-         input.now - machine.contact.lastHeartbeatAt <= overdue;
+         input.now - machine.contact.lastHeartbeatAt <= maxHeartbeatAge;
 }
 
 bool RoundState::zoneAccepts(const Job& job, const std::string& zone) const {
@@ -98,13 +99,13 @@
   return {zones.begin(), zones.end()};
 }
 
-void RoundState::assign(Bin& bin, Job& job, std::uint32_t index) {
+void RoundState::assign(Bin& bin, Job& job, std::uint32_t taskIndex) {
   bin.freeCapacity -= job.spec.taskResources;
   if (!bin.plansImage(job.spec.image)) bin.plannedImages.push_back(&job.spec.image);
   countInZone(job, bin.machine->zone);
   quotas.add(job.spec.team, job.spec.taskResources);
-  if (shareAccount) shareAccount->start(job);
-  plan.assignments.push_back(Assignment{&job, index, bin.machine});
+  if (shareAccount) shareAccount->recordStart(job);
+  plan.assignments.push_back(Assignment{&job, taskIndex, bin.machine});
 }
 
 void RoundState::preempt(Machine& machine, const machines::Attempt& attempt) {
--- a/src/placement/round_state.hpp
+++ b/src/placement/round_state.hpp
@@ -1,4 +1,4 @@
-// The working state of one placement round, shared by the classes that place and preempt.
+// The working state of one placement round. The classes that place tasks and preempt attempts share it.
 #pragma once
 
 #include <map>
@@ -16,28 +16,28 @@
 
 namespace reachhoist::placement {
 
-// Tasks by zone.
+// Number of tasks by zone.
 using ZoneCounts = std::map<std::string, std::uint32_t>;
 
-// What a round knows and has decided so far. `input` must outlive it.
+// The input of a round, derived data and the decisions so far. `input` must outlive the state.
 struct RoundState {
   explicit RoundState(const SchedulingInput& input);
 
-  // Whether the job fits into its team's guarantee.
+  // Whether the job is within its team's guarantee.
   bool isWithinGuarantee(const std::string& ref) const { return guaranteedJobs.contains(ref); }
-  // Whether fair shares let another task of the job, or its whole gang, start now.
-  bool isWithinShare(const Job& job) const { return !shareAccount || shareAccount->mayStart(job); }
+  // Whether fair shares allow another task of the job, or its whole gang, to start now.
+  bool isWithinShare(const Job& job) const { return !shareAccount || shareAccount->canStart(job); }
   // Whether the transaction has a condition left for another job.
-  bool mayPlaceAnotherJob() const { return placedJobs < input.maxJobs; }
-  // Whether one more task of the job may go to the zone.
+  bool canPlaceAnotherJob() const { return placedJobCount < input.maxJobs; }
+  // Whether the job's zone rules allow one more task in the zone.
   bool zoneAccepts(const Job& job, const std::string& zone) const;
   // Counts one more task of the job in the zone, if the job's placement depends on zones.
   void countInZone(const Job& job, const std::string& zone);
-  // Zones to consider for a gang; one empty name if its tasks may be in several zones.
+  // The zones to consider for a gang. One empty name stands for all zones if the gang can span several.
   std::vector<std::string> gangZones(const Job& job) const;
   // Assigns the task to the bin.
-  void assign(Bin& bin, Job& job, std::uint32_t index);
-  // Whether the attempt is to be stopped by this round.
+  void assign(Bin& bin, Job& job, std::uint32_t taskIndex);
+  // Whether this round preempts the attempt.
   bool isPreempted(const machines::Attempt& attempt) const {
     return preemptedAttempts.contains(attempt.number);
   }
@@ -47,23 +47,26 @@
   const SchedulingInput& input;
   PlacementPlan plan;
   std::vector<Bin> bins;
-  std::vector<Bin> busyBins;  // with a transaction in flight: only capacity that will be freed counts
+  // Bins of machines with a transaction in flight. Nothing is placed on them; only their pending capacity
+  // counts.
+  std::vector<Bin> binsInTransaction;
   TeamQuotas quotas;
-  std::unordered_map<std::string, ZoneCounts> zoneCounts;  // by job, where its placement depends on zones
-  std::set<std::uint64_t> preemptedAttempts;               // by attempt number
-  std::unordered_set<std::uint64_t> unreachableGangs;      // attempt numbers with a task on such a machine
-  std::unordered_set<std::string> guaranteedJobs;          // references of jobs within their team's guarantee
-  wire::Priority lowestPriority = wire::Priority::prod;    // of all attempts that are not being stopped
-  bool anyTeamOverGuarantee = false;                       // at the start of the round
-  bool anySpotMachine = false;
-  std::size_t placedJobs = 0;
-  std::optional<shares::ShareAccount> shareAccount;  // none: no fair shares
-  std::vector<const Job*> entitledJobs;              // below their entitlement and without capacity
+  // Placed tasks by zone, for each waiting gang or waiting job with zone rules; by job reference.
+  std::unordered_map<std::string, ZoneCounts> zoneCounts;
+  std::set<std::uint64_t> preemptedAttempts;           // attempt numbers
+  std::unordered_set<std::uint64_t> unreachableGangs;  // attempt numbers of gangs with an unreachable machine
+  std::unordered_set<std::string> guaranteedJobs;      // references of jobs within their team's guarantee
+  wire::Priority lowestPriority = wire::Priority::prod;  // of all attempts that are not being stopped
+  bool hasTeamOverGuarantee = false;                     // at the start of the round
+  bool hasSpotMachine = false;
+  std::size_t placedJobCount = 0;                    // jobs that got tasks in this round
+  std::optional<shares::ShareAccount> shareAccount;  // empty if fair shares are off
+  std::vector<const Job*> entitledJobs;  // jobs of groups below their entitlement that lack capacity
 
  private:
-  void addMachine(Machine& machine, bool countUsage, bool countZones);
-  void openShareAccount();
-  bool takesWork(const Machine& machine) const;
+  void addMachine(Machine& machine, bool countsUsage, bool countsZones);
+  void createShareAccount();
+  bool isSchedulable(const Machine& machine) const;
   bool isReachable(const Machine& machine) const;
 };
 
--- a/src/placement/share_preemptor.cpp
+++ b/src/placement/share_preemptor.cpp
@@ -8,52 +8,54 @@
 
 namespace reachhoist::placement {
 
-void SharePreemptor::preemptFor(const Job& job, std::uint32_t tasks, std::uint32_t covered) {
-  claim(job, covered);
-  if (!state_.mayPlaceAnotherJob() || !state_.shareAccount->mayStart(job)) return;
+void SharePreemptor::preemptFor(const Job& job, std::uint32_t taskCount, std::uint32_t coveredTasks) {
+  recordClaims(job, coveredTasks);
+  if (!state_.canPlaceAnotherJob() || !state_.shareAccount->canStart(job)) return;
   state_.entitledJobs.push_back(&job);
-  const std::uint32_t pending = promisePendingCapacity(state_, job, tasks - std::min(covered, tasks));
-  claim(job, pending);
-  covered += pending;
-  if (!state_.input.canPreemptForShares || covered >= tasks || !mayPreemptMore(job)) return;
-  if (!state_.shareAccount->anyGroupAboveEntitlement() || foundNoVictimsBefore(job)) return;
+  const std::uint32_t pendingTasks =
+      promisePendingCapacity(state_, job, taskCount - std::min(coveredTasks, taskCount));
+  recordClaims(job, pendingTasks);
+  coveredTasks += pendingTasks;
+  if (!state_.input.canPreemptForShares || coveredTasks >= taskCount || !canPreemptMore(job)) return;
+  if (!state_.shareAccount->hasGroupAboveEntitlement() || foundNoVictimsBefore(job)) return;
   state_.plan.triedSharePreemption = true;
   std::vector<Candidate> candidates = findCandidates(job);
-  const bool anywhere = !job.spec.allowedMachineTypes && !job.spec.requiredZone && !job.spec.singleZone &&
-                        !job.spec.spreadZones;
-  if (candidates.empty() && anywhere && (job.spec.allowsSpot || !state_.anySpotMachine))
+  const bool canRunAnywhere = !job.spec.allowedMachineTypes && !job.spec.requiredZone &&
+                              !job.spec.singleZone && !job.spec.spreadZones;
+  if (candidates.empty() && canRunAnywhere && (job.spec.allowsSpot || !state_.hasSpotMachine))
     jobsWithoutVictims_.push_back(&job);
-  preemptCheapest(job, std::move(candidates), tasks - covered);
+  preemptCheapest(job, std::move(candidates), taskCount - coveredTasks);
 }
 
-void SharePreemptor::claim(const Job& job, std::uint32_t tasks) {
-  for (std::uint32_t i = 0; i < tasks; ++i) state_.shareAccount->claim(job);
+void SharePreemptor::recordClaims(const Job& job, std::uint32_t taskCount) {
+  for (std::uint32_t i = 0; i < taskCount; ++i) state_.shareAccount->recordClaim(job);
 }
 
-bool SharePreemptor::mayPreemptMore(const Job& job) const {
-  return state_.shareAccount->withinReclaimStep() && state_.shareAccount->mayClaim(job);
+bool SharePreemptor::canPreemptMore(const Job& job) const {
+  return state_.shareAccount->isWithinReclaimStep() && state_.shareAccount->canClaim(job);
 }
 
 std::vector<SharePreemptor::Candidate> SharePreemptor::findCandidates(const Job& job) const {
   std::vector<Candidate> candidates;
-  for (std::size_t at = 0; at < state_.bins.size(); ++at)
-    if (auto candidate = findCandidate(job, at)) candidates.push_back(std::move(*candidate));
+  for (std::size_t i = 0; i < state_.bins.size(); ++i)
+    if (auto candidate = findCandidate(job, i)) candidates.push_back(std::move(*candidate));
   return candidates;
 }
 
-void SharePreemptor::preemptCheapest(const Job& job, std::vector<Candidate> heap, std::uint32_t tasks) {
+void SharePreemptor::preemptCheapest(const Job& job, std::vector<Candidate> heap, std::uint32_t taskCount) {
   std::make_heap(heap.begin(), heap.end());
-  for (std::uint32_t covered = 0; !heap.empty() && covered < tasks && mayPreemptMore(job);) {
+  for (std::uint32_t coveredTasks = 0; !heap.empty() && coveredTasks < taskCount && canPreemptMore(job);) {
     std::pop_heap(heap.begin(), heap.end());
     const Candidate ranked = std::move(heap.back());
     heap.pop_back();
-    // Preemptions since the ranking may have changed what this bin can give.
-    auto candidate = findCandidate(job, ranked.bin);
+    // Preemptions since the ranking can have changed the victims on this bin, so the candidate is computed
+    // again.
+    auto candidate = findCandidate(job, ranked.binIndex);
     if (!candidate) continue;
     if (candidate->costS <= ranked.costS) {
       preempt(job, *candidate);
-      ++covered;
-      candidate = findCandidate(job, ranked.bin);
+      ++coveredTasks;
+      candidate = findCandidate(job, ranked.binIndex);
       if (!candidate) continue;
     }
     heap.push_back(std::move(*candidate));
@@ -68,24 +70,25 @@
   });
 }
 
-std::optional<SharePreemptor::Candidate> SharePreemptor::findCandidate(const Job& job, std::size_t at) const {
-  const Bin& bin = state_.bins[at];
+std::optional<SharePreemptor::Candidate> SharePreemptor::findCandidate(const Job& job,
+                                                                       std::size_t binIndex) const {
+  const Bin& bin = state_.bins[binIndex];
   const Machine& machine = *bin.machine;
   if (bin.lowestPriority > job.spec.priority || !isUsable(bin, job)) return std::nullopt;
   if (!state_.zoneAccepts(job, machine.zone)) return std::nullopt;
   Victims ranked;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (mayPreemptForShare(state_, job, attempt)) ranked.push_back(&attempt);
+    if (canPreemptForShare(state_, job, attempt)) ranked.push_back(&attempt);
   std::sort(ranked.begin(), ranked.end(),
             [this](const auto* a, const auto* b) { return lostWorkS(state_, *a) < lostWorkS(state_, *b); });
   Candidate candidate{
-      machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.imageSizeGb), at, {}};
+      machine.hasImage(job.spec.image) ? 0 : machine.pullSeconds(job.spec.imageSizeGb), binIndex, {}};
   wire::Resources capacity = bin.unpromisedCapacity();
   shares::ShareAccount::ReclaimTrial trial(*state_.shareAccount);
   for (const auto* victim : ranked) {
     if (job.spec.taskResources.fitsIn(capacity)) break;
-    if (!trial.mayReclaim(*victim)) continue;
-    trial.reclaim(*victim);
+    if (!trial.canReclaim(*victim)) continue;
+    trial.add(*victim);
     capacity += victim->resources;
     candidate.costS += preemptionCostS(state_, *victim);
     candidate.victims.push_back(victim);
@@ -95,16 +98,16 @@
 }
 
 void SharePreemptor::preempt(const Job& job, const Candidate& candidate) {
-  Bin& bin = state_.bins[candidate.bin];
+  Bin& bin = state_.bins[candidate.binIndex];
   for (const auto* victim : candidate.victims) {
-    state_.shareAccount->reclaim(*victim);
-    bin.leaving += victim->resources;
+    state_.shareAccount->recordReclaim(*victim);
+    bin.stoppingCapacity += victim->resources;
     bin.hasStoppingAttempts = true;
     state_.preempt(*bin.machine, *victim);
     ++state_.plan.sharePreemptions;
   }
-  bin.promised += job.spec.taskResources;
-  state_.shareAccount->claim(job);
+  bin.promisedCapacity += job.spec.taskResources;
+  state_.shareAccount->recordClaim(job);
   state_.countInZone(job, bin.machine->zone);
 }
 
--- a/src/placement/share_preemptor.hpp
+++ b/src/placement/share_preemptor.hpp
@@ -1,4 +1,4 @@
-// Preemption for fair shares: groups above their entitlement give capacity to groups below theirs.
+// Preemption for fair shares: reclaims capacity from groups above their entitlement for groups below theirs.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,36 @@
 
 namespace reachhoist::placement {
 
-// Preempts for single tasks of groups below their entitlement. Needs a share account; does not own the state.
+// Preempts attempts for single tasks of groups below their entitlement. The state must have a share account.
+// Does not own the state.
 class SharePreemptor {
  public:
   explicit SharePreemptor(RoundState& state) : state_(state) {}
 
-  // Preempts for so many tasks of the job, as far as the job's group is below its entitlement. `covered`:
-  // tasks of them for which there is capacity now or soon.
-  void preemptFor(const Job& job, std::uint32_t tasks, std::uint32_t covered);
+  // Preempts attempts for up to `taskCount` tasks of the job, while the job's group is below its entitlement.
+  // For `coveredTasks` of these tasks the round has already found pending capacity or preempted attempts.
+  void preemptFor(const Job& job, std::uint32_t taskCount, std::uint32_t coveredTasks);
 
  private:
-  // What one bin gives up for one task; the cheaper one comes first in a heap.
+  // The victims on one bin that free capacity for one task. The cheapest candidate is at the top of a heap.
   struct Candidate {
     double costS = 0;
-    std::size_t bin = 0;
+    std::size_t binIndex = 0;  // in `RoundState::bins`
     Victims victims;
     bool operator<(const Candidate& other) const { return costS > other.costS; }
   };
-  void claim(const Job& job, std::uint32_t tasks);
-  bool mayPreemptMore(const Job& job) const;
+  void recordClaims(const Job& job, std::uint32_t taskCount);
+  bool canPreemptMore(const Job& job) const;
   std::vector<Candidate> findCandidates(const Job& job) const;
-  std::optional<Candidate> findCandidate(const Job& job, std::size_t at) const;
-  void preemptCheapest(const Job& job, std::vector<Candidate> heap, std::uint32_t tasks);
+  std::optional<Candidate> findCandidate(const Job& job, std::size_t binIndex) const;
+  void preemptCheapest(const Job& job, std::vector<Candidate> heap, std::uint32_t taskCount);
   void preempt(const Job& job, const Candidate& candidate);
-  // Whether a job that asked for no more, and could run anywhere, found no victims in this round.
+  // Whether this round has found no victims for a job that needs no more resources, has no lower priority and
+  // can run on any machine.
   bool foundNoVictimsBefore(const Job& job) const;
 
   RoundState& state_;
-  std::vector<const Job*> jobsWithoutVictims_;  // that could run anywhere
+  std::vector<const Job*> jobsWithoutVictims_;  // jobs that can run on any machine
 };
 
 }  // namespace reachhoist::placement
--- a/src/placement/slo.hpp
+++ b/src/placement/slo.hpp
@@ -1,4 +1,4 @@
-// Service-level objectives (SLOs) of a job: whether one can still be met, and by when its waiting tasks
+// Service-level objectives (SLOs) of a job: whether the job can still meet one, and by when its waiting tasks
 // must start for that.
 #pragma once
 
@@ -6,14 +6,14 @@
 
 namespace reachhoist::placement {
 
-// Where a job stands against its SLOs at a given wall-clock time.
+// Estimates for a job's SLOs at a given wall-clock time.
 struct SloOutlook {
-  bool reachable = true;           // some SLO can still be met
-  std::int64_t latestStartMs = 0;  // time of day by which waiting tasks must start for the next such SLO
+  bool reachable = true;           // the job can still meet an SLO
+  std::int64_t latestStartMs = 0;  // wall clock; latest start of the waiting tasks for the next SLO in reach
 };
 
-// The job's outlook at `wallClockMs` (milliseconds since the epoch). Estimates may be off by
-// `kEstimateSlack` of the expected run time before an SLO is given up. Never fails.
+// Estimates the job's outlook at `wallClockMs` (milliseconds since the epoch). An SLO counts as out of reach
+// only if the job would miss it by more than `kEstimateSlack` of its expected run time.
 SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallClockMs);
 
 }  // namespace reachhoist::placement
--- a/src/placement/task_placer.cpp
+++ b/src/placement/task_placer.cpp
@@ -17,39 +17,41 @@
   return choices;
 }
 
-void TaskPlacer::place(Job& job, std::uint32_t most, ShareUse use, PlacementProgress& progress) {
-  // The tasks of a job are alike: its bins are ranked once, and only the bin just used is ranked again.
+void TaskPlacer::place(Job& job, std::uint32_t taskLimit, ShareUse use, PlacementProgress& progress) {
+  // The tasks of a job are alike. So the bins are ranked once, and after each placement only the used bin is
+  // ranked again.
   std::vector<BinChoice> heap = findChoices(job, use);
   const std::greater<> soonestFirst;
   std::make_heap(heap.begin(), heap.end(), soonestFirst);
-  std::uint32_t placed = 0;
-  std::uint32_t& index = progress.nextIndex;
-  while (!heap.empty() && placed < most && state_.plan.assignments.size() < state_.input.maxTasks) {
-    while (index < job.spec.taskCount && job.tasks[index] != jobs::TaskPhase::waiting) ++index;
-    if (index >= job.spec.taskCount) break;
+  std::uint32_t placedCount = 0;
+  std::uint32_t& taskIndex = progress.nextTaskIndex;
+  while (!heap.empty() && placedCount < taskLimit && state_.plan.assignments.size() < state_.input.maxTasks) {
+    while (taskIndex < job.spec.taskCount && job.tasks[taskIndex] != jobs::TaskPhase::waiting) ++taskIndex;
+    if (taskIndex >= job.spec.taskCount) break;
     if (!state_.quotas.allows(job)) {
       progress.limit = PlacementLimit::teamQuota;
       break;
     }
-    const bool mayExceedShare =
-        use == ShareUse::leftoverCapacity || (use == ShareUse::oneBeyond && placed == 0);
-    if (!mayExceedShare && !state_.isWithinShare(job)) {
+    const bool canExceedShare =
+        use == ShareUse::leftoverCapacity || (use == ShareUse::oneTaskBeyondShare && placedCount == 0);
+    if (!canExceedShare && !state_.isWithinShare(job)) {
       progress.limit = PlacementLimit::fairShare;
       break;
     }
     std::pop_heap(heap.begin(), heap.end(), soonestFirst);
-    const std::size_t at = heap.back().bin;
+    const std::size_t binIndex = heap.back().binIndex;
     heap.pop_back();
-    Bin& bin = state_.bins[at];
-    // A zone that accepts no more tasks accepts none for the rest of the round.
+    Bin& bin = state_.bins[binIndex];
+    // A zone that accepts no task of the job now accepts none for the rest of the round, so the bin is
+    // dropped.
     if (!state_.zoneAccepts(job, bin.machine->zone)) continue;
-    state_.assign(bin, job, index++);
-    ++placed;
+    state_.assign(bin, job, taskIndex++);
+    ++placedCount;
     if (!job.spec.taskResources.fitsIn(bin.freeCapacity)) continue;
-    heap.push_back(BinChoice{startDelayS(bin, job), at});
+    heap.push_back(BinChoice{startDelayS(bin, job), binIndex});
     std::push_heap(heap.begin(), heap.end(), soonestFirst);
   }
-  progress.placed += placed;
+  progress.placedCount += placedCount;
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/team_quotas.hpp
+++ b/src/placement/team_quotas.hpp
@@ -1,4 +1,4 @@
-// Team quotas in one placement round: what each team uses, its guarantee and its limit.
+// Team quotas in one placement round: the usage, the guarantee and the limit of each team.
 #pragma once
 
 #include <algorithm>
@@ -11,27 +11,27 @@
 
 namespace reachhoist::placement {
 
-// CPUs and GPUs in use.
+// The CPUs and GPUs that a team uses.
 struct TeamUsage {
   double cpus = 0;
   double gpus = 0;
 };
 
-// The usage of all teams against the quotas of the settings, which must outlive this object.
+// Compares the usage of all teams with the quotas of the settings. The settings must outlive this object.
 class TeamQuotas {
  public:
   explicit TeamQuotas(const config::Settings& settings) : settings_(settings) {}
 
-  // Adds so many tasks of the given size to the team's usage.
-  void add(const std::string& team, const wire::Resources& task, double tasks = 1);
-  // Whether so many more tasks of the job keep its team's limit. False for an unknown team.
-  bool allows(const jobs::Job& job, std::uint32_t tasks = 1) const;
-  // Of so many tasks of the job, those that the limit on CPUs lets start.
-  std::uint32_t tasksWithinLimit(const jobs::Job& job, std::uint32_t tasks) const;
-  // Whether the team uses more CPUs than it is guaranteed.
+  // Adds the given number of tasks to the team's usage.
+  void add(const std::string& team, const wire::Resources& task, double taskCount = 1);
+  // Whether the limit of the job's team allows `taskCount` more tasks of the job. False for an unknown team.
+  bool allows(const jobs::Job& job, std::uint32_t taskCount = 1) const;
+  // Returns how many of the given tasks of the job the team's limit on CPUs allows to start.
+  std::uint32_t tasksWithinLimit(const jobs::Job& job, std::uint32_t taskCount) const;
+  // Whether the team uses more CPUs than its guarantee.
   bool exceedsGuarantee(const std::string& team) const;
-  // The same for any team with usage.
-  bool anyExceedsGuarantee() const;
+  // Whether any team uses more CPUs than its guarantee.
+  bool hasTeamOverGuarantee() const;
 
  private:
   TeamUsage usageOf(const std::string& team) const;
--- a/src/shares/convergence.cpp
+++ b/src/shares/convergence.cpp
@@ -1,4 +1,4 @@
-// Bound on the time of convergence; see convergence.hpp.
+// Upper bound on the convergence time of placements; see convergence.hpp.
 #include "shares/convergence.hpp"
 
 #include <algorithm>
@@ -20,16 +20,17 @@
 }
 
 double convergenceBoundS(const config::Settings& settings, const CapacityShift& shift) {
-  const double steps = static_cast<double>(reclaimSteps(settings, shift));
-  const double reclaimS = (steps - 1) * reclaimPauseS(settings);
-  // The last stop may miss its direct command and wait for a heartbeat; the end of the task is reported by
-  // another heartbeat.
-  const double commandS =
+  const double stepCount = static_cast<double>(reclaimSteps(settings, shift));
+  const double reclaimS = (stepCount - 1) * reclaimPauseS(settings);
+  // The direct command of the last stop can fail, so that the stop waits for a heartbeat. Another heartbeat
+  // reports the end of the task.
+  const double commandAndReportS =
       2 * maxHeartbeatIntervalS(settings) + wire::toSeconds(constants::kWorkerCallTimeout);
-  const double placeS = shift.placedPerS > 0 ? static_cast<double>(shift.tasks) / shift.placedPerS
-                                             : wire::toSeconds(constants::kStateCallTimeout);
-  // The start of the next task is commanded in the same way.
-  return reclaimS + commandS + shift.gracePeriodS + placeS + commandS + shift.imagePullS;
+  const double placementS = shift.placementsPerS > 0 ? static_cast<double>(shift.tasks) / shift.placementsPerS
+                                                     : wire::toSeconds(constants::kStateCallTimeout);
+  // The commands that start the next tasks take as long as those that stop the preempted ones.
+  return reclaimS + commandAndReportS + shift.gracePeriodS + placementS + commandAndReportS +
+         shift.imagePullS;
 }
 
 double convergenceBoundHeartbeats(const config::Settings& settings, const CapacityShift& shift) {
--- a/src/shares/fair_share.cpp
+++ b/src/shares/fair_share.cpp
@@ -9,30 +9,30 @@
 
 namespace {
 
-constexpr double kEpsilon = 1e-9;  // of a share: rounding of sums
-constexpr std::size_t kResources = 3;
-constexpr double kNever = std::numeric_limits<double>::infinity();
-using ResourceShares = std::array<double, kResources>;
+constexpr double kEpsilon = 1e-9;  // as a share: covers rounding errors of sums
+constexpr std::size_t kResourceCount = 3;
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+using ResourceShares = std::array<double, kResourceCount>;
 
 ResourceShares sharesOf(const Resources& amount, const Resources& capacity) {
-  const auto share = [](double wanted, double available) {
-    if (wanted <= 0) return 0.0;
-    return available > 0 ? wanted / available : kNever;
+  const auto share = [](double used, double available) {
+    if (used <= 0) return 0.0;
+    return available > 0 ? used / available : kInfinity;
   };
   return {share(amount.vcpus, capacity.vcpus), share(amount.accelerators, capacity.accelerators),
           share(amount.memoryGb, capacity.memoryGb)};
 }
 
-// One group during progressive filling.
+// The state of one group during progressive filling.
 struct FillingGroup {
   double weight = 0;
-  double fixedShare = 0;   // share of its fixed part
-  double demandShare = 0;  // share of its demand
-  double share = 0;
-  ResourceShares each{};  // use of each resource for a share of 1
-  bool frozen = false;
+  double fixedShare = 0;           // dominant share of its fixed part
+  double demandShare = 0;          // dominant share of its demand
+  double share = 0;                // dominant share that it has reached
+  ResourceShares usagePerShare{};  // usage of each resource for a dominant share of 1
+  bool frozen = false;             // its share rises no further
 
-  bool uses(std::size_t resource) const { return each[resource] > kEpsilon; }
+  bool uses(std::size_t resource) const { return usagePerShare[resource] > kEpsilon; }
 };
 
 class ProgressiveFilling {
@@ -44,16 +44,17 @@
     }
   }
 
-  // Raises all groups that are not frozen, with a weight or without one, until none can rise further.
+  // Raises the shares of the groups that have a weight (`weighted`), or of those that have none, until all of
+  // them are frozen.
   void run(bool weighted) {
     double level = 0;
     for (;;) {
-      freezeAtExhaustion();
+      freezeUsersOfExhaustedResources();
       const double next = nextLevel(level, weighted);
-      if (next == kNever) return;
+      if (next == kInfinity) return;
       for (FillingGroup& group : groups_)
-        if (rises(group, weighted))
-          group.share = std::clamp(weightOf(group) * next, group.share, group.demandShare);
+        if (isRising(group, weighted))
+          group.share = std::clamp(rateOf(group) * next, group.share, group.demandShare);
       for (FillingGroup& group : groups_)
         if (group.demandShare - group.share <= kEpsilon) group.frozen = true;
       level = next;
@@ -63,45 +64,46 @@
   const std::vector<FillingGroup>& groups() const { return groups_; }
 
  private:
-  static bool rises(const FillingGroup& group, bool weighted) {
+  static bool isRising(const FillingGroup& group, bool weighted) {
     return !group.frozen && (group.weight > 0) == weighted;
   }
-  // Groups of weight 0 rise at the same rate.
-  static double weightOf(const FillingGroup& group) { return group.weight > 0 ? group.weight : 1; }
+  // The shares of groups of weight 0 all rise at the same rate.
+  static double rateOf(const FillingGroup& group) { return group.weight > 0 ? group.weight : 1; }
 
   double used(std::size_t resource) const {
     double sum = 0;
     for (const FillingGroup& group : groups_)
-      if (group.uses(resource)) sum += group.share * group.each[resource];
+      if (group.uses(resource)) sum += group.share * group.usagePerShare[resource];
     return sum;
   }
 
-  void freezeAtExhaustion() {
-    for (std::size_t resource = 0; resource < kResources; ++resource) {
+  void freezeUsersOfExhaustedResources() {
+    for (std::size_t resource = 0; resource < kResourceCount; ++resource) {
       if (used(resource) < 1 - kEpsilon) continue;
       for (FillingGroup& group : groups_)
         if (group.uses(resource)) group.frozen = true;
     }
   }
 
-  // The next level at which a group's demand is met, a group leaves its fixed part, or a resource is
-  // exhausted.
+  // The lowest level above `level` at which the demand of a group is met, the share of a group begins to rise
+  // above its fixed part, or a resource is exhausted.
   double nextLevel(double level, bool weighted) const {
-    double next = kNever;
-    ResourceShares speed{};
+    double next = kInfinity;
+    ResourceShares usagePerLevel{};
     for (const FillingGroup& group : groups_) {
-      if (!rises(group, weighted)) continue;
-      const double weight = weightOf(group);
-      if (weight * level + kEpsilon < group.share) {
-        next = std::min(next, group.share / weight);  // stays at its fixed part until then
+      if (!isRising(group, weighted)) continue;
+      const double rate = rateOf(group);
+      if (rate * level + kEpsilon < group.share) {
+        next = std::min(next, group.share / rate);  // the share stays at the fixed part up to this level
         continue;
       }
-      next = std::min(next, group.demandShare / weight);
-      for (std::size_t resource = 0; resource < kResources; ++resource)
-        if (group.uses(resource)) speed[resource] += weight * group.each[resource];
+      next = std::min(next, group.demandShare / rate);
+      for (std::size_t resource = 0; resource < kResourceCount; ++resource)
+        if (group.uses(resource)) usagePerLevel[resource] += rate * group.usagePerShare[resource];
     }
-    for (std::size_t resource = 0; resource < kResources; ++resource)
-      if (speed[resource] > 0) next = std::min(next, level + (1 - used(resource)) / speed[resource]);
+    for (std::size_t resource = 0; resource < kResourceCount; ++resource)
+      if (usagePerLevel[resource] > 0)
+        next = std::min(next, level + (1 - used(resource)) / usagePerLevel[resource]);
     return std::max(next, level);
   }
 
@@ -110,7 +112,7 @@
 
 }  // namespace
 
-bool GroupShare::granted() const { return entitled >= demand - kEpsilon; }
+bool GroupShare::isDemandCovered() const { return entitled >= demand - kEpsilon; }
 
 double dominantShare(const Resources& amount, const Resources& capacity) {
   const ResourceShares resourceShares = sharesOf(amount, capacity);
@@ -118,28 +120,29 @@
 }
 
 std::vector<GroupShare> allocateFairShares(const Resources& capacity, const std::vector<GroupLoad>& groups) {
-  std::vector<FillingGroup> rising;
-  std::vector<GroupShare> out;
+  std::vector<FillingGroup> fillingGroups;
+  std::vector<GroupShare> shares;
   for (const GroupLoad& group : groups) {
     const ResourceShares resourceShares = sharesOf(group.demand, capacity);
     const double demand = *std::max_element(resourceShares.begin(), resourceShares.end());
-    out.push_back(GroupShare{0, dominantShare(group.running, capacity), demand});
-    FillingGroup next;
-    next.weight = group.weight;
-    // A demand for a resource that no machine has cannot be met at all.
-    if (demand > 0 && demand < kNever) {
-      next.demandShare = demand;
-      next.fixedShare = std::min(demand, dominantShare(group.fixed, capacity));
-      for (std::size_t resource = 0; resource < kResources; ++resource)
-        next.each[resource] = resourceShares[resource] / demand;
+    shares.push_back(GroupShare{0, dominantShare(group.running, capacity), demand});
+    FillingGroup fillingGroup;
+    fillingGroup.weight = group.weight;
+    // A demand for a resource that no machine has cannot be met at all, so that the group is entitled to
+    // nothing.
+    if (demand > 0 && demand < kInfinity) {
+      fillingGroup.demandShare = demand;
+      fillingGroup.fixedShare = std::min(demand, dominantShare(group.fixed, capacity));
+      for (std::size_t resource = 0; resource < kResourceCount; ++resource)
+        fillingGroup.usagePerShare[resource] = resourceShares[resource] / demand;
     }
-    rising.push_back(next);
+    fillingGroups.push_back(fillingGroup);
   }
-  ProgressiveFilling filling(std::move(rising));
+  ProgressiveFilling filling(std::move(fillingGroups));
   filling.run(true);
   filling.run(false);
-  for (std::size_t i = 0; i < out.size(); ++i) out[i].entitled = filling.groups()[i].share;
-  return out;
+  for (std::size_t i = 0; i < shares.size(); ++i) shares[i].entitled = filling.groups()[i].share;
+  return shares;
 }
 
 }  // namespace reachhoist::shares
--- a/src/shares/group.cpp
+++ b/src/shares/group.cpp
@@ -4,45 +4,45 @@
 namespace reachhoist::shares {
 
 namespace {
-constexpr std::string_view kTeam = "team:";
-constexpr std::string_view kClass = "class:";
+constexpr std::string_view kTeamPrefix = "team:";
+constexpr std::string_view kClassPrefix = "class:";
 
-bool validName(std::string_view name) {
+bool isValidName(std::string_view name) {
   return !name.empty() && name.find_first_of("/: \t\n") == std::string_view::npos;
 }
 }  // namespace
 
-bool Group::holds(std::string_view ofTeam, std::string_view ofClass) const {
-  return (team.empty() || team == ofTeam) && (jobClass.empty() || jobClass == ofClass);
+bool Group::matches(std::string_view teamName, std::string_view className) const {
+  return (team.empty() || team == teamName) && (jobClass.empty() || jobClass == className);
 }
 
-int Group::closeness() const {
-  constexpr int kByTeam = 2;
-  constexpr int kByClass = 1;
-  return (team.empty() ? 0 : kByTeam) + (jobClass.empty() ? 0 : kByClass);
+int Group::specificity() const {
+  constexpr int kTeamSpecificity = 2;
+  constexpr int kClassSpecificity = 1;
+  return (team.empty() ? 0 : kTeamSpecificity) + (jobClass.empty() ? 0 : kClassSpecificity);
 }
 
 std::string Group::str() const {
-  std::string out;
-  if (!team.empty()) out.append(kTeam).append(team);
-  if (!team.empty() && !jobClass.empty()) out += '/';
-  if (!jobClass.empty()) out.append(kClass).append(jobClass);
-  return out;
+  std::string name;
+  if (!team.empty()) name.append(kTeamPrefix).append(team);
+  if (!team.empty() && !jobClass.empty()) name += '/';
+  if (!jobClass.empty()) name.append(kClassPrefix).append(jobClass);
+  return name;
 }
 
-std::optional<Group> parseGroup(std::string_view text) {
+std::optional<Group> parseGroup(std::string_view name) {
   Group group;
-  if (text.starts_with(kTeam)) {
-    text.remove_prefix(kTeam.size());
-    const auto slash = text.find('/');
-    group.team = text.substr(0, slash);
-    if (!validName(group.team)) return std::nullopt;
+  if (name.starts_with(kTeamPrefix)) {
+    name.remove_prefix(kTeamPrefix.size());
+    const auto slash = name.find('/');
+    group.team = name.substr(0, slash);
+    if (!isValidName(group.team)) return std::nullopt;
     if (slash == std::string_view::npos) return group;
-    text.remove_prefix(slash + 1);
+    name.remove_prefix(slash + 1);
   }
-  if (!text.starts_with(kClass)) return std::nullopt;
-  group.jobClass = text.substr(kClass.size());
-  if (!validName(group.jobClass)) return std::nullopt;
+  if (!name.starts_with(kClassPrefix)) return std::nullopt;
+  group.jobClass = name.substr(kClassPrefix.size());
+  if (!isValidName(group.jobClass)) return std::nullopt;
   return group;
 }
 
--- a/src/shares/group.hpp
+++ b/src/shares/group.hpp
@@ -15,17 +15,17 @@
 
   auto operator<=>(const Group&) const = default;
   // Whether jobs of the team and the class match the group.
-  bool holds(std::string_view ofTeam, std::string_view ofClass) const;
-  // How specific the group is: a job belongs to the most specific group that contains it.
-  int closeness() const;
-  // "team:NAME", "class:NAME" or "team:NAME/class:NAME".
+  bool matches(std::string_view teamName, std::string_view className) const;
+  // How specific the group is. A job belongs to the most specific group that it matches.
+  int specificity() const;
+  // The group's name: "team:NAME", "class:NAME" or "team:NAME/class:NAME".
   std::string str() const;
 };
 
-// Parses the form of `Group::str`; nothing if the text is not in that form.
-std::optional<Group> parseGroup(std::string_view text);
+// Parses a name in the form of `Group::str`; nothing if it does not have that form.
+std::optional<Group> parseGroup(std::string_view name);
 
-// Name of the group of all jobs that no other group contains.
-inline constexpr std::string_view kOthers = "others";
+// Name of the group of all jobs that match no other group.
+inline constexpr std::string_view kOthersGroup = "others";
 
 }  // namespace reachhoist::shares
--- a/src/shares/share_account.hpp
+++ b/src/shares/share_account.hpp
@@ -1,5 +1,5 @@
-// Per-round fair-share accounting of the groups: which may start more tasks, which may be asked to give up
-// capacity, and how much the round has reclaimed.
+// Fair-share accounting of one placement round: which groups can start more tasks, which attempts can be
+// preempted for the groups below their entitlement, and how much capacity the round has reclaimed.
 #pragma once
 
 #include <set>
@@ -10,72 +10,73 @@
 
 namespace reachhoist::shares {
 
-// Tracks, within one placement round, which groups may start more and which must give back capacity by
-// preemption, and how much the round has reclaimed. Not thread-safe.
+// Tracks the usage of the fair-share groups within one placement round, and how much capacity the round has
+// reclaimed by preemption. Not thread-safe.
 class ShareAccount {
  public:
-  // `reclaimStep`: the part of the capacity after which a round reclaims no more; exceeded by less than one
-  // claim.
+  // The round stops reclaiming once it has reclaimed `reclaimStep`, a part of the capacity. It exceeds this
+  // part by less than the capacity that one claim takes.
   ShareAccount(UsageSnapshot usage, double reclaimStep);
 
-  // Whether the shares let the job start another task, or its whole gang. This exceeds the entitlement by
-  // less than one such unit, so that what has just been placed is never reclaimed.
-  bool mayStart(const jobs::Job& job) const;
-  // Counts so many tasks of the job as running.
-  void start(const jobs::Job& job, std::uint32_t tasks = 1);
-  // Whether the job is a started array of which nothing runs now, in a group that gets less than it demands.
-  bool mustKeepRunning(const jobs::Job& job) const;
+  // Whether fair shares allow the job to start another task, or its whole gang. The group's usage exceeds the
+  // entitlement by less than one such unit, so that a task that has just been placed is never reclaimed.
+  bool canStart(const jobs::Job& job) const;
+  // Counts the given number of tasks of the job as running.
+  void recordStart(const jobs::Job& job, std::uint32_t taskCount = 1);
+  // Whether the job is a started array that runs none of its tasks, in a group that is entitled to less than
+  // it demands.
+  bool lacksGuaranteedTask(const jobs::Job& job) const;
 
-  // Whether the job's group is below its entitlement, what this round has claimed for it included.
-  bool mayClaim(const jobs::Job& job) const;
-  // Counts capacity that will be freed as claimed for one task of the job, or its whole gang.
-  void claim(const jobs::Job& job);
+  // Whether the job's group is below its entitlement, even if the capacity that this round has claimed for it
+  // counts as used.
+  bool canClaim(const jobs::Job& job) const;
+  // Records a claim on capacity that will be freed, for one task of the job, or for its whole gang.
+  void recordClaim(const jobs::Job& job);
 
-  // Attempts considered for preemption together, before any of them is reclaimed. The account must not change
-  // meanwhile.
+  // A set of attempts that would be reclaimed together. The account must not change while a trial exists.
   class ReclaimTrial {
    public:
     explicit ReclaimTrial(const ShareAccount& account) : shareAccount_(account) {}
-    // Whether the attempt (its whole gang) can be reclaimed too, with its group still at its entitlement or
-    // above.
-    bool mayReclaim(const machines::Attempt& attempt) const;
-    void reclaim(const machines::Attempt& attempt);
+    // Whether the attempt (with its whole gang) can be reclaimed in addition, so that its group stays at or
+    // above its entitlement.
+    bool canReclaim(const machines::Attempt& attempt) const;
+    void add(const machines::Attempt& attempt);
 
    private:
-    struct ReclaimedAttempt {
-      std::string_view job;
-      std::uint64_t number = 0;
+    struct TrialAttempt {
+      std::string_view jobRef;
+      std::uint64_t attemptNumber = 0;
       std::size_t group = 0;
-      bool gang = false;
-      Resources unit;  // the attempt's resources, or those of its whole gang
+      bool isGangMember = false;
+      Resources unit;  // resources of the attempt, or of its whole gang
     };
     const ShareAccount& shareAccount_;
-    std::vector<ReclaimedAttempt> reclaimedAttempts_;
+    std::vector<TrialAttempt> attempts_;
   };
 
-  // Whether the attempt may be preempted for fair shares.
-  bool mayReclaim(const machines::Attempt& attempt) const { return ReclaimTrial(*this).mayReclaim(attempt); }
-  // Counts the attempt as preempted for fair shares.
-  void reclaim(const machines::Attempt& attempt);
-  // Whether any group has more than it is entitled to.
-  bool anyGroupAboveEntitlement() const;
-  // Whether the round may reclaim more.
-  bool withinReclaimStep() const { return reclaimedShare_ < reclaimStep_; }
-  // Counts the attempt as stopped for a reason other than fair shares.
-  void release(const machines::Attempt& attempt);
+  // Whether the attempt can be preempted for fair shares.
+  bool canReclaim(const machines::Attempt& attempt) const { return ReclaimTrial(*this).canReclaim(attempt); }
+  // Counts the attempt (with its whole gang) as preempted for fair shares.
+  void recordReclaim(const machines::Attempt& attempt);
+  // Whether any group uses more than its entitlement while its demand is not covered.
+  bool hasGroupAboveEntitlement() const;
+  // Whether the round has reclaimed less than the reclaim step.
+  bool isWithinReclaimStep() const { return reclaimedShare_ < reclaimStep_; }
+  // Counts the attempt (with its whole gang) as stopped for a reason other than fair shares.
+  void recordStop(const machines::Attempt& attempt);
 
  private:
-  // The standing of a job that fair shares apply to; null for all others.
-  const JobStanding* findGoverned(std::string_view ref) const;
+  // The usage of the job; null if the job is unknown or exempt from fair shares.
+  const JobUsage* findJobUnderShares(std::string_view ref) const;
   // Resources of the attempt, or of its whole gang.
   Resources unitOf(const machines::Attempt& attempt) const;
 
   UsageSnapshot usage_;
   std::vector<GroupShare> shares_;
-  std::vector<Resources> claimedCapacity_;  // by group: capacity that will be freed for it
-  std::set<std::uint64_t> stoppedGangs_;    // attempt numbers
+  std::vector<Resources> claimedCapacity_;  // by group; capacity that will be freed for the group
+  std::set<std::uint64_t> stoppedGangs_;    // by attempt number
   double reclaimStep_;
-  double reclaimedShare_ = 0;  // of the capacity
+  double reclaimedShare_ = 0;  // part of the capacity
 };
 
 }  // namespace reachhoist::shares
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -1,4 +1,4 @@
-// The fair-share table; see table.hpp.
+// Encoding, validation and changes of the fair-share table; see table.hpp.
 #include "shares/table.hpp"
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 
 std::optional<FieldError> checkWeight(const std::string& field, double weight) {
   if (std::isfinite(weight) && weight >= 0 && weight <= constants::kMaxShareWeight) return std::nullopt;
-  std::ostringstream reason;
-  reason << "must be a number from 0 to " << constants::kMaxShareWeight;
-  return FieldError{field, reason.str()};
+  std::ostringstream problem;
+  problem << "must be a number from 0 to " << constants::kMaxShareWeight;
+  return FieldError{field, problem.str()};
 }
 
-bool knownClass(const config::Settings& settings, const std::string& jobClass) {
+bool isKnownClass(const config::Settings& settings, const std::string& jobClass) {
   return std::any_of(settings.objectives.begin(), settings.objectives.end(),
                      [&](const config::Objective& objective) { return objective.jobClass == jobClass; });
 }
@@ -28,12 +28,12 @@
   const std::string field = "group " + group.str();
   if (!group.team.empty() && settings.team(group.team) == nullptr)
     return FieldError{field, "names a team that the platform doesn't know"};
-  if (!group.jobClass.empty() && !knownClass(settings, group.jobClass))
+  if (!group.jobClass.empty() && !isKnownClass(settings, group.jobClass))
     return FieldError{field, "names a job class that the platform doesn't know"};
   return std::nullopt;
 }
 
-std::optional<FieldError> decodeShare(const Json& entry, std::size_t index, Share& out) {
+std::optional<FieldError> decodeShare(const Json& entry, std::size_t index, Share& share) {
   const std::string field = "groups[" + std::to_string(index) + "]";
   const auto name = wire::textField(entry, "group");
   const auto group = name ? parseGroup(*name) : std::nullopt;
@@ -41,11 +41,11 @@
     return FieldError{field + ".group", "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
   const Json* weight = wire::field(entry, "weight");
   if (weight == nullptr || !weight->is_number()) return FieldError{field + ".weight", "must be a number"};
-  out = Share{*group, weight->get<double>()};
+  share = Share{*group, weight->get<double>()};
   return std::nullopt;
 }
 
-std::optional<FieldError> decodeRequests(const Json& value, Table& out) {
+std::optional<FieldError> decodeRequests(const Json& value, Table& table) {
   const Json* requests = wire::field(value, "requests");
   if (requests == nullptr) return std::nullopt;
   if (!requests->is_array()) return FieldError{"requests", "must be a list"};
@@ -53,7 +53,7 @@
     const auto id = wire::textField(entry, "id");
     const auto generation = wire::countField(entry, "generation");
     if (!id || !generation) return FieldError{"requests", "must hold ids and generations"};
-    out.requests.push_back(AppliedRequest{*id, *generation});
+    table.requests.push_back(AppliedRequest{*id, *generation});
   }
   return std::nullopt;
 }
@@ -69,9 +69,10 @@
 }
 
 std::optional<FieldError> checkDuplicates(const std::vector<Share>& shares) {
-  std::set<Group> seen;
+  std::set<Group> namedGroups;
   for (const Share& share : shares)
-    if (!seen.insert(share.group).second) return FieldError{"group " + share.group.str(), "is named twice"};
+    if (!namedGroups.insert(share.group).second)
+      return FieldError{"group " + share.group.str(), "is named twice"};
   return std::nullopt;
 }
 
@@ -82,8 +83,8 @@
   int bestSpecificity = 0;
   for (std::size_t i = 0; i < shares.size(); ++i) {
     const Group& group = shares[i].group;
-    if (!group.holds(team, jobClass) || group.closeness() <= bestSpecificity) continue;
-    bestSpecificity = group.closeness();
+    if (!group.matches(team, jobClass) || group.specificity() <= bestSpecificity) continue;
+    bestSpecificity = group.specificity();
     best = i;
   }
   return best;
@@ -94,7 +95,7 @@
 }
 
 std::string Table::groupName(std::size_t group) const {
-  return group < shares.size() ? shares[group].group.str() : std::string(kOthers);
+  return group < shares.size() ? shares[group].group.str() : std::string(kOthersGroup);
 }
 
 std::optional<FieldError> check(const Table& table, const config::Settings& settings) {
@@ -108,10 +109,10 @@
     if (auto problem = checkGroup(share.group, settings)) return problem;
     if (auto problem = checkWeight("group " + share.group.str() + " weight", share.weight)) return problem;
   }
-  const auto most =
+  const auto maxBytes =
       static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxValueFill);
-  if (encode(table).dump().size() > most)
-    return FieldError{"groups", "make a record of more than " + std::to_string(most) + " bytes"};
+  if (encode(table).dump().size() > maxBytes)
+    return FieldError{"groups", "make a record of more than " + std::to_string(maxBytes) + " bytes"};
   return std::nullopt;
 }
 
@@ -128,44 +129,44 @@
               {"requests", std::move(requests)}};
 }
 
-std::optional<FieldError> decode(const Json& value, Table& out) {
+std::optional<FieldError> decode(const Json& value, Table& table) {
   if (!value.is_object()) return FieldError{"record", "must be a map"};
-  Table table;
+  Table decoded;
   const auto generation = wire::countField(value, "generation");
   if (!generation) return FieldError{"generation", "must be a whole number"};
-  table.generation = *generation;
+  decoded.generation = *generation;
   const Json* others = wire::field(value, "others");
   if (others == nullptr || !others->is_number()) return FieldError{"others", "must be a number"};
-  table.othersWeight = others->get<double>();
+  decoded.othersWeight = others->get<double>();
   const Json* groups = wire::field(value, "groups");
   if (groups == nullptr || !groups->is_array()) return FieldError{"groups", "must be a list"};
   for (const Json& entry : *groups) {
     Share share;
-    if (auto problem = decodeShare(entry, table.shares.size(), share)) return problem;
-    table.shares.push_back(std::move(share));
+    if (auto problem = decodeShare(entry, decoded.shares.size(), share)) return problem;
+    decoded.shares.push_back(std::move(share));
   }
-  if (auto problem = decodeRequests(value, table)) return problem;
-  out = std::move(table);
+  if (auto problem = decodeRequests(value, decoded)) return problem;
+  table = std::move(decoded);
   return std::nullopt;
 }
 
-std::optional<FieldError> fromOperators(const config::Settings& settings, Table& out) {
-  const config::ShareSettings& block = settings.operators.shares;
-  Table table;
-  table.generation = block.generation;
-  table.othersWeight = block.othersWeight;
-  for (const config::ShareWeight& line : block.groups) {
-    const auto group = parseGroup(line.group);
+std::optional<FieldError> fromOperators(const config::Settings& settings, Table& table) {
+  const config::ShareSettings& shareSettings = settings.operators.shares;
+  Table built;
+  built.generation = shareSettings.generation;
+  built.othersWeight = shareSettings.othersWeight;
+  for (const config::ShareWeight& entry : shareSettings.groups) {
+    const auto group = parseGroup(entry.group);
     if (!group)
-      return FieldError{"shares.group " + line.group,
+      return FieldError{"shares.group " + entry.group,
                         "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
-    table.shares.push_back(Share{*group, line.weight});
+    built.shares.push_back(Share{*group, entry.weight});
   }
-  if (auto problem = check(table, settings)) {
+  if (auto problem = check(built, settings)) {
     problem->field = "shares." + problem->field;
     return problem;
   }
-  out = std::move(table);
+  table = std::move(built);
   return std::nullopt;
 }
 
@@ -184,19 +185,20 @@
                   {"generation", "is " + std::to_string(table.generation) + " and not " +
                                      std::to_string(*change.expectedGeneration)});
   if (auto problem = checkDuplicates(change.set)) return reject(ChangeVerdict::invalid, *problem);
-  Table next = table;
-  if (change.replace) next.shares.clear();
-  for (const Share& share : change.set) setShare(next, share);
+  Table changed = table;
+  if (change.replace) changed.shares.clear();
+  for (const Share& share : change.set) setShare(changed, share);
   for (const Group& group : change.remove) {
-    if (std::erase_if(next.shares, [&](const Share& share) { return share.group == group; }) == 0)
+    if (std::erase_if(changed.shares, [&](const Share& share) { return share.group == group; }) == 0)
       return reject(ChangeVerdict::invalid, {"group " + group.str(), "is not in the table"});
   }
-  if (change.othersWeight) next.othersWeight = *change.othersWeight;
-  ++next.generation;
-  next.requests.push_back(AppliedRequest{change.requestId, next.generation});
-  if (next.requests.size() > constants::kShareRequestHistory) next.requests.erase(next.requests.begin());
-  if (auto problem = check(next, settings)) return reject(ChangeVerdict::invalid, *problem);
-  table = std::move(next);
+  if (change.othersWeight) changed.othersWeight = *change.othersWeight;
+  ++changed.generation;
+  changed.requests.push_back(AppliedRequest{change.requestId, changed.generation});
+  if (changed.requests.size() > constants::kShareRequestHistory)
+    changed.requests.erase(changed.requests.begin());
+  if (auto problem = check(changed, settings)) return reject(ChangeVerdict::invalid, *problem);
+  table = std::move(changed);
   return {ChangeVerdict::changed, table.generation, {}};
 }
 
--- a/src/shares/usage.hpp
+++ b/src/shares/usage.hpp
@@ -1,4 +1,4 @@
-// Usage snapshot: what each fair-share group runs and demands, over the machines that are up.
+// Usage snapshot: the usage and the demand of each fair-share group on the machines that are up.
 #pragma once
 
 #include <functional>
@@ -13,38 +13,40 @@
 
 namespace reachhoist::shares {
 
-// Whether the attempt is being stopped: the capacity that it holds counts as freed.
-bool isLeaving(const machines::Attempt& attempt);
+// Whether the attempt is being stopped. The capacity that it still holds does not count as usage of its
+// group.
+bool isBeingStopped(const machines::Attempt& attempt);
 
-// How one open job counts in the snapshot.
-struct JobStanding {
-  std::size_t group = 0;     // index in `UsageSnapshot::loads`
-  bool fixed = false;        // served before fair shares: neither delayed nor preempted for them
-  bool keepsOne = false;     // a started array: one of its tasks may run whatever its group uses
-  std::uint32_t placed = 0;  // tasks that are placed and not being stopped
+// The usage of one open job, and how fair shares apply to it.
+struct JobUsage {
+  std::size_t group = 0;             // index in `UsageSnapshot::loads`
+  bool isExempt = false;             // fair shares neither delay nor preempt the job
+  bool isGuaranteedOneTask = false;  // a started array: one of its tasks can run however much its group uses
+  std::uint32_t placedCount = 0;     // number of tasks that are placed and not being stopped
 };
 
-// Capacity, per-group load and per-job standing at one moment; input to `allocateFairShares`.
+// The capacity and the usage by group and by job at one moment; input to `allocateFairShares`.
 struct UsageSnapshot {
-  Resources capacity;            // of the machines that count
-  std::vector<double> units;     // by group: the dominant share of its largest task or gang
-  std::vector<GroupLoad> loads;  // by group; the last one is that of all other jobs
-  std::unordered_map<std::string_view, JobStanding> jobs;  // open jobs, by reference
+  Resources capacity;              // of the machines that are up, not quarantined and without a spot notice
+  std::vector<double> unitShares;  // by group: the dominant share of its largest task or gang
+  std::vector<GroupLoad> loads;    // by group; the last group is that of all jobs that match no other
+  std::unordered_map<std::string_view, JobUsage> jobs;  // open jobs, by reference
 
-  // The job's standing, or null.
-  const JobStanding* find(std::string_view ref) const;
+  // The usage of the job, or null.
+  const JobUsage* find(std::string_view ref) const;
 };
 
-// By group: whether it runs what it is entitled to, to within one task or gang, and has nothing beyond that
-// which another group lacks.
+// For each group, whether it has converged: its usage is at most one task or gang below its entitlement, and
+// it exceeds the entitlement by more than that only if no group is below its own by more.
 std::vector<bool> converged(const UsageSnapshot& usage, const std::vector<GroupShare>& shares);
 
-// Whether a job is served before fair shares apply (and is never preempted for them).
+// Whether a job is exempt from fair shares: it is served before they apply and is never preempted for them.
 using ShareExemption = std::function<bool(const jobs::Job&)>;
 
-// Takes the snapshot. `open` and the table must outlive it (it keeps views of job refs).
+// Takes the snapshot. The jobs must outlive it, because it keeps views of their references.
 UsageSnapshot takeUsageSnapshot(const Table& table, const config::Settings& settings,
                                 const std::vector<machines::Machine*>& machines,
-                                const std::vector<const jobs::Job*>& open, const ShareExemption& isExempt);
+                                const std::vector<const jobs::Job*>& openJobs,
+                                const ShareExemption& isExempt);
 
 }  // namespace reachhoist::shares
