--- a/src/placement/bin.hpp
+++ b/src/placement/bin.hpp
@@ -17,7 +17,7 @@
   bool hasStoppingAttempts = false;
   wire::Resources stoppingCapacity;  // held by attempts that are being stopped
   wire::Resources promisedCapacity;  // part of `capacityAfterStops` that is promised to jobs
-  // Whether a job below its entitlement waits for capacity here. Set after all such jobs have had their turn.
+  // Whether a job below its entitlement waits for capacity here. Set after all such jobs are planned.
   bool awaited = false;
   std::vector<const std::string*> plannedImages;  // of the tasks that this round assigns to the machine
 
--- a/src/placement/rank_preemptor.hpp
+++ b/src/placement/rank_preemptor.hpp
@@ -14,8 +14,8 @@
   explicit RankPreemptor(RoundState& state) : state_(state) {}
 
   // Preempts attempts for up to `taskCount` tasks of the job, as far as rank and the round's limit allow.
-  // Returns for how many of these tasks attempts that are being stopped, or that are now preempted, free the
-  // capacity.
+  // Returns the number of tasks for which attempts that are already being stopped, or that this call
+  // preempts, free the capacity.
   std::uint32_t preemptFor(const Job& job, std::uint32_t taskCount);
 
  private:
--- a/src/placement/round.hpp
+++ b/src/placement/round.hpp
@@ -31,8 +31,8 @@
     PlacementProgress progress;
   };
   void placeJob(const QueuedJob& queued);
-  // Places tasks of a job that is not a gang, adds the rest to the unplaced demand and preempts attempts for
-  // it.
+  // Places tasks of a job that is not a gang. Adds the rest to the unplaced demand and preempts attempts for
+  // these tasks.
   void placeTasks(const QueuedJob& queued, PlacementProgress progress, ShareUse use);
   // Places a few tasks of a job that is at fault, where there is capacity. The round preempts no attempt and
   // adds no unplaced demand for such a job, so that no instance is requested for it.
--- a/src/placement/round_state.hpp
+++ b/src/placement/round_state.hpp
@@ -47,8 +47,7 @@
   const SchedulingInput& input;
   PlacementPlan plan;
   std::vector<Bin> bins;
-  // Bins of machines with a transaction in flight. Nothing is placed on them; only their pending capacity
-  // counts.
+  // Bins of machines with a transaction in flight. Only their pending capacity counts; they get no tasks.
   std::vector<Bin> binsInTransaction;
   TeamQuotas quotas;
   // Placed tasks by zone, for each waiting gang or waiting job with zone rules; by job reference.
--- a/src/placement/share_preemptor.cpp
+++ b/src/placement/share_preemptor.cpp
@@ -48,8 +48,7 @@
     std::pop_heap(heap.begin(), heap.end());
     const Candidate ranked = std::move(heap.back());
     heap.pop_back();
-    // Preemptions since the ranking can have changed the victims on this bin, so the candidate is computed
-    // again.
+    // Computes the candidate again, since preemptions after the ranking can have changed the victims here.
     auto candidate = findCandidate(job, ranked.binIndex);
     if (!candidate) continue;
     if (candidate->costS <= ranked.costS) {
--- a/src/placement/share_preemptor.hpp
+++ b/src/placement/share_preemptor.hpp
@@ -33,8 +33,8 @@
   std::optional<Candidate> findCandidate(const Job& job, std::size_t binIndex) const;
   void preemptCheapest(const Job& job, std::vector<Candidate> heap, std::uint32_t taskCount);
   void preempt(const Job& job, const Candidate& candidate);
-  // Whether this round has found no victims for a job that needs no more resources, has no lower priority and
-  // can run on any machine.
+  // Whether this round has found no victims for a job that can run on any machine, needs no more resources
+  // and has no lower priority.
   bool foundNoVictimsBefore(const Job& job) const;
 
   RoundState& state_;
--- a/src/placement/task_placer.cpp
+++ b/src/placement/task_placer.cpp
@@ -42,8 +42,7 @@
     const std::size_t binIndex = heap.back().binIndex;
     heap.pop_back();
     Bin& bin = state_.bins[binIndex];
-    // A zone that accepts no task of the job now accepts none for the rest of the round, so the bin is
-    // dropped.
+    // Drops the bin: a zone that accepts no task of the job now accepts none for the rest of the round.
     if (!state_.zoneAccepts(job, bin.machine->zone)) continue;
     state_.assign(bin, job, taskIndex++);
     ++placedCount;
--- a/src/shares/fair_share.cpp
+++ b/src/shares/fair_share.cpp
@@ -85,8 +85,8 @@
     }
   }
 
-  // The lowest level above `level` at which the demand of a group is met, the share of a group begins to rise
-  // above its fixed part, or a resource is exhausted.
+  // The lowest level from `level` on at which the demand of a group is met, the share of a group begins to
+  // rise above its fixed part, or a resource is exhausted.
   double nextLevel(double level, bool weighted) const {
     double next = kInfinity;
     ResourceShares usagePerLevel{};
@@ -128,8 +128,7 @@
     shares.push_back(GroupShare{0, dominantShare(group.running, capacity), demand});
     FillingGroup fillingGroup;
     fillingGroup.weight = group.weight;
-    // A demand for a resource that no machine has cannot be met at all, so that the group is entitled to
-    // nothing.
+    // A group is entitled to nothing if its demand includes a resource that no machine has.
     if (demand > 0 && demand < kInfinity) {
       fillingGroup.demandShare = demand;
       fillingGroup.fixedShare = std::min(demand, dominantShare(group.fixed, capacity));
--- a/src/shares/table.hpp
+++ b/src/shares/table.hpp
@@ -38,8 +38,7 @@
   std::vector<Share> shares;
   std::vector<AppliedRequest> requests;  // the latest requests, oldest first
 
-  // The index in `shares` of the group that a job belongs to, or `shares.size()` for jobs that match no
-  // group.
+  // The index in `shares` of the group that a job belongs to, or `shares.size()` if it matches no group.
   std::size_t groupOf(const std::string& team, const std::string& jobClass) const;
   // The number of groups, with the group of all other jobs.
   std::size_t groupCount() const { return shares.size() + 1; }
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -12,8 +12,7 @@
 using machines::Attempt;
 using machines::Machine;
 
-// Whether the machine's capacity is divided among the groups. The work on the other machines ends or moves
-// soon.
+// Whether the groups divide the machine's capacity. Work on the other machines will end or move soon.
 bool isCounted(const Machine& machine) {
   return machine.phase == machines::MachinePhase::up && !machine.faults.quarantined && !machine.spotNoticeAt;
 }
--- a/src/shares/usage.hpp
+++ b/src/shares/usage.hpp
@@ -13,8 +13,7 @@
 
 namespace reachhoist::shares {
 
-// Whether the attempt is being stopped. The capacity that it still holds does not count as usage of its
-// group.
+// Whether the attempt is being stopped. The capacity that it still holds counts as freed.
 bool isBeingStopped(const machines::Attempt& attempt);
 
 // The usage of one open job, and how fair shares apply to it.
