--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -78,7 +78,7 @@
 
 void PlacementScheduler::preempt(const std::vector<placement::Preemption>& preemptions) {
   for (const placement::Preemption& preemption : preemptions) {
-    Attempt* attempt = preemption.machine->find(preemption.task, preemption.attempt);
+    Attempt* attemptNumber = preemption.machine->find(preemption.task, preemption.attemptNumber);
     if (attempt == nullptr) continue;
     context_.event(Level::info, "preempt",
                    {{"task", preemption.task.str()}, {"machine", preemption.machine->host.text}});
@@ -138,7 +138,7 @@
   jobs::Job& job = *assignment.job;
   Machine& machine = *assignment.machine;
   Attempt attempt;
-  attempt.task = wire::TaskId{job.spec.ref, assignment.index};
+  attempt.task = wire::TaskId{job.spec.ref, assignment.taskIndex};
   attempt.batch = state_.batches.assignBatch(machine, attempt, round.batches, constants::kMaxBatchesPerRound);
   const bool gangAttemptBegun = job.isGang() && job.gang.state == jobs::GangState::reserving;
   if (!attempt.batch && !gangAttemptBegun) return false;
@@ -154,7 +154,7 @@
   const bool isInRound = attempt.batch.has_value();
   machine.attempts.push_back(std::move(attempt));
   machine.transactionInFlight = true;
-  job.setTaskPhase(assignment.index, jobs::TaskPhase::placed, context_.now);
+  job.setTaskPhase(assignment.taskIndex, jobs::TaskPhase::placed, context_.now);
   if (!isInRound) return true;
   round.hosts.insert(machine.host.text);
   round.jobs.insert(job.spec.ref.text);
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -21,7 +21,7 @@
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   input.shares = &*context_.shares;
-  input.mayPreemptForShares = mayPreemptForShares && context_.now >= nextPreemptionAt_;
+  input.canPreemptForShares = canPreemptForShares && context_.now >= nextPreemptionAt_;
 }
 
 void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
@@ -40,7 +40,7 @@
   for (const std::string& ref : state_.jobs.openJobs()) openJobs.push_back(state_.jobs.find(ref));
   const shares::Table& table = *context_.shares;
   const shares::UsageSnapshot usage = shares::takeUsageSnapshot(
-      table, context_.settings, machines, openJobs, placement::ranksAboveShares(context_.settings, openJobs));
+      table, context_.settings, machines, openJobs, placement::shareExemption(context_.settings, openJobs));
   const auto groupShares = shares::allocateFairShares(usage.capacity, usage.loads);
   const auto converged = shares::converged(usage, groupShares);
   Json groups = Json::array();
