--- a/src/cluster/partitions.cpp
+++ b/src/cluster/partitions.cpp
@@ -17,7 +17,7 @@
 std::string partitionKey(PartitionId partition) { return "parts/" + std::to_string(partition); }
 
 std::uint64_t fencingToken(std::uint64_t term, std::uint64_t sequence) {
-  return (term << static_cast<unsigned>(constants::kFencingTokenTermShift)) + sequence;
+  return (term << static_cast<unsigned>(constants::kFencingTokenTermShiftBits)) + sequence;
 }
 
 }  // namespace reachhoist::cluster
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -12,11 +12,11 @@
 
 // === Limits that the protocol sets for messages, calls and tokens
 // Largest request body, in bytes.
-inline constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+inline constexpr std::size_t kMaxRequestBodyBytes = 64 * 1024;
 // Largest request line and headers, in bytes; ours take about 200.
-inline constexpr std::size_t kMaxHeadBytes = 8 * 1024;
+inline constexpr std::size_t kMaxRequestHeadBytes = 8 * 1024;
 // Largest drift of a steady clock, as a share of the time measured.
-inline constexpr double kMaxClockDrift = 0.0005;
+inline constexpr double kMaxClockDriftShare = 0.0005;
 // Most instances that one instance request may ask for.
 inline constexpr std::size_t kMaxInstancesPerRequest = 50;
 // Most instances that one release request may name.
@@ -24,7 +24,7 @@
 // Most instances that a page of the cloud's instance list holds.
 inline constexpr std::size_t kInstanceListPageSize = 500;
 // Bits of a fencing token below the leader's term; they count the tokens of one machine within the term.
-inline constexpr int kFencingTokenTermShift = 20;
+inline constexpr int kFencingTokenTermShiftBits = 20;
 // Least Retry-After that the protocol allows in an answer to a user, in seconds.
 inline constexpr int kRetryAfterS = 1;
 
@@ -45,7 +45,7 @@
 // The leader's answer to a relayed heartbeat: below the 4 s after which a worker tries another controller.
 inline constexpr milliseconds kRelayTimeout = 3s;
 // A worker that comes back within this after being redirected could not reach the leader: it is relayed.
-inline constexpr milliseconds kRedirectMemory = 8s;
+inline constexpr milliseconds kRedirectRetention = 8s;
 // How long a worker's heartbeats are relayed before it is redirected again, to try the direct way.
 inline constexpr milliseconds kMaxRelayDuration = 30s;
 
@@ -61,7 +61,7 @@
 // Time for three retransmissions on these networks.
 inline constexpr milliseconds kConnectTimeout = 1500ms;
 // Most idle client connections kept to one address.
-inline constexpr std::size_t kMaxIdlePerEndpoint = 4;
+inline constexpr std::size_t kMaxIdleConnectionsPerEndpoint = 4;
 // An idle client connection is closed after this.
 inline constexpr milliseconds kClientIdleTimeout = 30s;
 // Largest response, in bytes; where a watch answer would be larger, the keys are listed instead.
@@ -100,7 +100,7 @@
 // The admin daemon's share, taken from the margin that the controllers keep.
 inline constexpr double kAdminBudgetShare = 0.02;
 // Part of the stated rate that all shares together may use: clocks and windows differ.
-inline constexpr double kRateLimitUtilization = 0.92;
+inline constexpr double kUsableRateShare = 0.92;
 // Most that one controller spends on confirming reads.
 inline constexpr double kMaxPollBudgetShare = 0.12;
 // The same for all controllers together.
@@ -119,7 +119,7 @@
 // The same with gangs among the jobs. Written with the first gang, since readers of layout 2 would lose it.
 inline constexpr std::uint64_t kRecordLayoutWithGangs = 3;
 // Share of the value size limit that a job's record may fill: flags and revisions vary in length.
-inline constexpr double kMaxValueFill = 0.95;
+inline constexpr double kMaxValueFillShare = 0.95;
 
 // === Leader lease, election and the safety margins of worker leases
 // Added to every lease computation beyond clock drift: timer steps, processing time, late expiry.
@@ -153,22 +153,22 @@
 // === Failure detection, boot times, failing jobs, and the cloud's instance list and catalogue
 // --- Failure detection: times in heartbeat intervals since the last heartbeat ------------------------------
 // A machine gets no new work, and is given up 2 s later.
-inline constexpr double kMissedHeartbeatLimit = 3.0;
+inline constexpr double kMissedHeartbeatIntervals = 3.0;
 // 1 s later it is probed directly.
-inline constexpr double kProbeAfterHeartbeats = 1.25;
+inline constexpr double kProbeHeartbeatIntervals = 1.25;
 // 1 s later it is given up, if the probe was not answered either.
-inline constexpr double kUnreachableHeartbeatLimit = 2.0;
+inline constexpr double kUnreachableHeartbeatIntervals = 2.0;
 // 0.5 s later it counts as overdue, as a sign that its zone is partitioned away.
-inline constexpr double kOverdueAfterHeartbeats = 1.3;
+inline constexpr double kOverdueHeartbeatIntervals = 1.3;
 // Share of a zone's machines that must be overdue for a network partition; fewer have failed one by one.
 inline constexpr double kZonePartitionShare = 0.5;
 // Share of the worker lease after which services in a partitioned zone fail over to other zones, if possible.
 inline constexpr double kFailoverLeaseShare = 0.7;
 // How long a machine may go without acknowledging its fencing token, beyond its lease, before it is given up:
 // it receives nothing that the leader sends.
-inline constexpr milliseconds kUnacknowledgedTimeout = 5s;
+inline constexpr milliseconds kUnacknowledgedTokenTimeout = 5s;
 // After loading, machines that a new leader has not heard from are probed directly.
-inline constexpr milliseconds kProbeUnheardDelay = 3s;
+inline constexpr milliseconds kTakeoverProbeDelay = 3s;
 // Least machines probed at a time, where sockets are few.
 inline constexpr unsigned kMinProbesPerTick = 20;
 // How long a released machine's name is remembered: instance lists and copies of its heartbeats arrive late.
@@ -239,16 +239,16 @@
 // A round runs this often without any event: backoffs and missed heartbeats alone change what may be placed.
 inline constexpr milliseconds kReplanInterval = 1s;
 // Most placements of one round, so that rounds stay short.
-inline constexpr std::size_t kMaxTasksPerRound = 400;
+inline constexpr std::size_t kMaxPlacementsPerRound = 400;
 // Most attempts that one round preempts.
-inline constexpr std::size_t kMaxStopsPerRound = 64;
+inline constexpr std::size_t kMaxPreemptionsPerRound = 64;
 // --- Placement batches -----------------------------------------------------------------------------------
 // Most batches written by one round: half of the 64 KiB that a transaction may hold.
 inline constexpr std::size_t kMaxBatchesPerRound = 4;
 // Size that batches aim at, in bytes of JSON; small batches are cheap to rewrite.
 inline constexpr std::size_t kTargetBatchBytes = 7000;
 // Share of the value size limit that a batch may fill: its size is an estimate.
-inline constexpr double kMaxBatchFill = 0.85;
+inline constexpr double kMaxBatchFillShare = 0.85;
 // Between rewrites of batches that name machines which are gone.
 inline constexpr milliseconds kBatchCleanupInterval = 2s;
 // --- Progress and completion -----------------------------------------------------------------------------
@@ -260,7 +260,7 @@
 inline constexpr std::uint32_t kTasksPerDoneChunk = 4096;
 // --- Order of jobs ---------------------------------------------------------------------------------------
 // Added to a job's expected run time, as a share of it: users are often wrong by half.
-inline constexpr double kEstimateSlack = 0.5;
+inline constexpr double kRunTimeEstimateSlackShare = 0.5;
 // Start time SLO of jobs for which none is configured.
 inline constexpr milliseconds kDefaultStartSlo = 5min;
 // A job without a start for this long goes first; the largest jobs have 240 s.
@@ -288,7 +288,7 @@
 // A job array task on an empty machine: filling other machines up first leaves empty ones to release.
 inline constexpr double kEmptyMachineArrayPenaltyS = 3.0;
 // Share of an image fetch's time that a task costs which joins a fetch under way.
-inline constexpr double kSharedFetchCostShare = 0.5;
+inline constexpr double kSharedPullCostShare = 0.5;
 // Preempting a gang for the capacity of one task.
 inline constexpr double kGangPreemptionCostS = 60.0;
 // The same if one of the gang's machines is unreachable: without the command to stop, nothing is
@@ -363,7 +363,7 @@
 // Machines' worth of capacity that stays free beyond the headroom: one machine may be lost.
 inline constexpr double kConsolidationSpareMachines = 2.0;
 // Largest used share of a machine to be drained; beyond it, moving the work costs more than it saves.
-inline constexpr double kConsolidationMaxUsage = 0.6;
+inline constexpr double kConsolidationMaxUsedShare = 0.6;
 
 // === Fair-share tables: limits of a table and the pace of its convergence
 // Most groups of a table: its record stays below the value size limit.
@@ -383,7 +383,7 @@
 
 // === Arithmetic on resources
 // Sums and quotients of fractional CPUs, GPUs and tasks are not exact: differences below this don't count.
-inline constexpr double kResourceRounding = 1e-6;
+inline constexpr double kResourceTolerance = 1e-6;
 // CPUs; the least divisor where the CPUs of a task or a machine may be zero or unknown.
 inline constexpr double kMinCpuDivisor = 0.01;
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -25,14 +25,14 @@
 
 std::chrono::milliseconds Settings::answerWindow() const {
   // A lease renewed at the very end of the window must have run out, on the slowest clock, within cancel_s.
-  const double windowS =
-      workers.cancelS * (1 - constants::kMaxClockDrift) - workers.leaseS * (1 + constants::kMaxClockDrift);
+  const double windowS = workers.cancelS * (1 - constants::kMaxClockDriftShare) -
+                         workers.leaseS * (1 + constants::kMaxClockDriftShare);
   return std::chrono::milliseconds(static_cast<long>(windowS * 1000)) - constants::kLeaseSafetyMargin;
 }
 
 std::chrono::milliseconds Settings::leaseExpiry() const {
   return std::chrono::milliseconds(
-             static_cast<long>(std::ceil(workers.leaseS * (1 + 2 * constants::kMaxClockDrift) * 1000))) +
+             static_cast<long>(std::ceil(workers.leaseS * (1 + 2 * constants::kMaxClockDriftShare) * 1000))) +
          constants::kLeaseSafetyMargin;
 }
 
--- a/src/fleet/episodes.hpp
+++ b/src/fleet/episodes.hpp
@@ -55,7 +55,7 @@
 struct StepChoice {
   int units = 0;
   double value = 0;
-  std::size_t support = 0;
+  std::size_t supportingEpisodes = 0;
 };
 // The step with the best similarity-weighted payoff among those retrieved; nothing when none is close.
 std::optional<StepChoice> chooseStep(const std::vector<Episode>& retrieved, const PoolContext& now);
--- a/src/fleet/pareto.cpp
+++ b/src/fleet/pareto.cpp
@@ -9,7 +9,7 @@
 
 namespace reachhoist::fleet {
 
-bool ParetoFrontier::nonDominated(const ParetoPoint& point) const {
+bool ParetoFrontier::isNonDominated(const ParetoPoint& point) const {
   return std::none_of(points_.begin(), points_.end(), [&](const ParetoPoint& other) {
     return other.wait <= point.wait && other.cost <= point.cost &&
            (other.wait < point.wait || other.cost < point.cost);
@@ -45,7 +45,7 @@
 }
 
 void ParetoFrontier::update(const ParetoPoint& point) {
-  if (!nonDominated(point)) return;
+  if (!isNonDominated(point)) return;
   std::erase_if(points_, [&](const ParetoPoint& other) {
     return point.wait <= other.wait && point.cost <= other.cost;
   });
--- a/src/fleet/pareto.hpp
+++ b/src/fleet/pareto.hpp
@@ -15,7 +15,7 @@
 class ParetoFrontier {
  public:
   // Whether no point of the frontier dominates this one.
-  bool nonDominated(const ParetoPoint& point) const;
+  bool isNonDominated(const ParetoPoint& point) const;
   // Area that the point adds to what the frontier dominates, up to the reference point (1, 1).
   double contribution(const ParetoPoint& point) const;
   // Euclidean distance to the nearest point of the frontier; 0 for an empty frontier.
--- a/src/fleet/payoff.cpp
+++ b/src/fleet/payoff.cpp
@@ -24,7 +24,7 @@
   const double magnitude = std::abs(outcome.units) + (outcome.units != 0 ? 0.5 : 0.0);
   const double proactive = severity * magnitude * constants::kProactiveWeight;
   const ParetoPoint point = normalised(outcome);
-  const double pareto = frontier.nonDominated(point)
+  const double pareto = frontier.isNonDominated(point)
                             ? 1 + frontier.contribution(point)
                             : constants::kMaxDominatedPayoff / (1 + frontier.distance(point));
   return std::clamp(wait + cost + penalty + proactive + pareto, -constants::kMaxPayoff,
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // The catalogue's boot time of the machine's type; zero for a type that the catalogue no longer offers.
-double catalogBootSeconds(const FleetSnapshot& snapshot, const Machine& machine) {
+double catalogBootTimeS(const FleetSnapshot& snapshot, const Machine& machine) {
   double nominalBootTimeS = 0;
   for (const wire::MachineType& machineType : snapshot.catalog)
     if (machineType.name == machine.machineType) nominalBootTimeS = machineType.nominalBootTimeS;
@@ -25,7 +25,7 @@
 bool isStraggler(const FleetSnapshot& snapshot, const BootCohorts& cohorts, const Machine& machine) {
   if (machine.phase != MachinePhase::booting) return false;
   const auto expected = snapshot.bootTimes.expectedBootTime(
-      machine.machineType, machine.zone, catalogBootSeconds(snapshot, machine), snapshot.now);
+      machine.machineType, machine.zone, catalogBootTimeS(snapshot, machine), snapshot.now);
   return snapshot.now - machine.provisionedAt > expected && cohorts.lagsCohort(machine);
 }
 
@@ -69,7 +69,7 @@
 }
 
 bool inScaleOutBackoff(const FleetSnapshot& snapshot, const placement::UnplacedDemand& demand) {
-  return demand.job->gang.nextScaleOut > snapshot.now;
+  return demand.job->gang.nextScaleOutAt > snapshot.now;
 }
 
 std::vector<QueuedWork> queuedWork(const FleetSnapshot& snapshot,
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -23,8 +23,8 @@
   for (const auto& [key, machineType] : offeredPools(snapshot.catalog)) {
     PoolView& view = views[key];
     view.key = key;
-    view.ratePerHour = hourlyPrice(*machineType, key.spot);
-    view.refused = snapshot.refusedPools.contains(key);
+    view.pricePerHour = hourlyPrice(*machineType, key.spot);
+    view.requestRefused = snapshot.refusedPools.contains(key);
   }
   return views;
 }
@@ -40,13 +40,13 @@
     if (found == views.end()) continue;
     PoolView& view = found->second;
     ++view.machines;
-    if (isStraggler(snapshot, cohorts, *machine)) ++view.overdue;
+    if (isStraggler(snapshot, cohorts, *machine)) ++view.overdueBoots;
     if (machine->phase != machines::MachinePhase::up) continue;
     if (machine->empty()) {
-      ++view.idle;
+      ++view.idleMachines;
       if (Headroom& left = headroom.try_emplace(found->first, snapshot).first->second;
           left.allowsRelease(*machine)) {
-        ++view.releasable;
+        ++view.releasableMachines;
         left.release(*machine);
       }
     }
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -12,7 +12,7 @@
 using machines::MachinePhase;
 
 // Whether the machine has been empty for longer than the operators' idle limit.
-bool idleTooLong(const FleetSnapshot& snapshot, const Machine& machine) {
+bool isIdleTooLong(const FleetSnapshot& snapshot, const Machine& machine) {
   if (machine.phase != MachinePhase::up || !machine.attempts.empty() || machine.transactionInFlight)
     return false;
   return snapshot.now - machine.idleSince >= wire::seconds(snapshot.settings.operators.idleScaleInS);
@@ -77,7 +77,7 @@
     // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
     // loss of one uses up nothing that the next services need.
     const double used = machine->capacity.vcpus - machine->freeCapacity().vcpus;
-    if (used > machine->capacity.vcpus * constants::kConsolidationMaxUsage) break;
+    if (used > machine->capacity.vcpus * constants::kConsolidationMaxUsedShare) break;
     if (pool.freeCpus - machine->capacity.vcpus <
         headroomCpus + constants::kConsolidationSpareMachines * machine->capacity.vcpus)
       break;
@@ -94,7 +94,7 @@
   Headroom headroom(snapshot);
   std::vector<Machine*> out;
   for (Machine* machine : snapshot.machines) {
-    if (!idleTooLong(snapshot, *machine) || !headroom.allowsRelease(*machine)) continue;
+    if (!isIdleTooLong(snapshot, *machine) || !headroom.allowsRelease(*machine)) continue;
     headroom.release(*machine);
     out.push_back(machine);
   }
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -20,17 +20,17 @@
   return share <= 1 ? share : 1 + std::log2(share) / constants::kSizeFeatureDoublings;
 }
 
-int unitOf(int machines, int divisor) { return std::max(1, machines / std::max(1, divisor)); }
+int machinesPerUnit(int machines, int divisor) { return std::max(1, machines / std::max(1, divisor)); }
 
 int Sizing::allowedUnits(const PoolView& pool, const PoolState& state, int units, Time now) const {
   units = std::clamp(units, constants::kMinStepUnits, constants::kMaxStepUnits);
-  if (units > 0 &&
-      (pool.refused || (state.lastScaleOut != Time{} &&
-                        now - state.lastScaleOut < wire::seconds(settings_.operators.scaleUpCooldownS))))
+  if (units > 0 && (pool.requestRefused ||
+                    (state.lastScaleOutAt != Time{} &&
+                     now - state.lastScaleOutAt < wire::seconds(settings_.operators.scaleUpCooldownS))))
     return 0;
-  if (units < 0 && (pool.releasable == 0 ||
-                    (state.lastScaleIn != Time{} &&
-                     now - state.lastScaleIn < wire::seconds(settings_.operators.scaleDownCooldownS))))
+  if (units < 0 && (pool.releasableMachines == 0 ||
+                    (state.lastScaleInAt != Time{} &&
+                     now - state.lastScaleInAt < wire::seconds(settings_.operators.scaleDownCooldownS))))
     return 0;
   return units;
 }
@@ -45,17 +45,17 @@
   const double machines = std::max(1, pool.machines);
   const auto scaled = [](double value, double max) { return std::clamp(value / max, 0.0, 1.0); };
   return PoolContext{scaled(pool.queueWaitS, constants::kMaxWaitTargets * queueWaitTargetS()),
-                     scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idle / machines,
+                     scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idleMachines / machines,
                      sizeFeature(pool.machines)};
 }
 
 void Sizing::scorePreviousStep(const PoolView& pool, PoolState& state) {
   if (!state.unscored) return;
   // While instances are overdue, the step has not taken effect: there is nothing to score.
-  if (state.unscored->before.units > 0 && pool.overdue > 0) return state.unscored.reset();
+  if (state.unscored->before.units > 0 && pool.overdueBoots > 0) return state.unscored.reset();
   StepOutcome outcome = state.unscored->before;
   outcome.waitAfterS = pool.queueWaitS;
-  outcome.costAfter = pool.machines * pool.ratePerHour;
+  outcome.costAfter = pool.machines * pool.pricePerHour;
   const double value = payoff(outcome, frontier_);
   buffer_.add(Episode{state.unscored->context, outcome.units, value});
   frontier_.update(normalised(outcome));
@@ -70,7 +70,7 @@
   }
   const auto retrieved = buffer_.retrieve(context, static_cast<std::size_t>(settings_.operators.episodes));
   if (const auto choice = chooseStep(retrieved, context))
-    return Decision{choice->units, "episodes:" + std::to_string(choice->support) +
+    return Decision{choice->units, "episodes:" + std::to_string(choice->supportingEpisodes) +
                                        ",value:" + std::to_string(choice->value)};
   return Decision{unitsForQueue(pool), "queue"};
 }
@@ -81,10 +81,10 @@
   before.waitBaselineS = constants::kMaxWaitTargets * queueWaitTargetS();
   before.maxWaitS = before.waitBaselineS;
   before.targetS = queueWaitTargetS();
-  before.costBefore = pool.machines * pool.ratePerHour;
+  before.costBefore = pool.machines * pool.pricePerHour;
   // The cost of a step is compared with the cost of its pool: compared with that of a few machines, any step
   // of a large pool would look too expensive.
-  const double rate = std::max(pool.ratePerHour, 1e-6);
+  const double rate = std::max(pool.pricePerHour, 1e-6);
   before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * rate;
   const double grown =
       pool.machines * (1.0 + 1.0 * constants::kMaxStepUnits / constants::kDefaultStepDivisor);
@@ -106,14 +106,14 @@
     const int units = allowedUnits(pool, state, decision.units, now);
     state.unscored = UnscoredStep{context, outcomeBefore(pool, units)};
     if (units == 0) continue;
-    Step step{pool.key, units, units * unitOf(pool.machines, settings_.operators.stepDivisor),
+    Step step{pool.key, units, units * machinesPerUnit(pool.machines, settings_.operators.stepDivisor),
               std::move(decision.why)};
     if (units > 0) {
-      state.previousScaleOut = state.lastScaleOut;
-      state.lastScaleOut = now;
+      state.previousScaleOutAt = state.lastScaleOutAt;
+      state.lastScaleOutAt = now;
     } else {
-      step.machines = -std::min(-step.machines, pool.releasable);
-      state.lastScaleIn = now;
+      step.machines = -std::min(-step.machines, pool.releasableMachines);
+      state.lastScaleInAt = now;
     }
     steps.push_back(std::move(step));
   }
@@ -123,7 +123,7 @@
 
 void Sizing::onScaleOutRefused(const PoolKey& pool) {
   PoolState& state = poolStates_[pool];
-  state.lastScaleOut = state.previousScaleOut;
+  state.lastScaleOutAt = state.previousScaleOutAt;
   state.unscored.reset();
 }
 
--- a/src/fleet/sizing.hpp
+++ b/src/fleet/sizing.hpp
@@ -26,7 +26,7 @@
 // that it tells hundreds from dozens.
 double sizeFeature(int machines);
 // A unit is a `divisor`th of the pool (an eighth by default), at least one machine.
-int unitOf(int machines, int divisor);
+int machinesPerUnit(int machines, int divisor);
 
 // The sizing state of one leader: episode buffer, Pareto frontier, probe chance and cooldowns per pool.
 class Sizing {
@@ -36,7 +36,7 @@
   }
 
   // Whether the next round is due.
-  bool due(Time now) const { return now >= nextRoundAt_; }
+  bool isRoundDue(Time now) const { return now >= nextRoundAt_; }
   // Scores the steps of the last round and chooses the next ones; pools without a step are left out.
   std::vector<Step> round(Time now, const std::vector<PoolView>& pools);
   // An instance request of the last round was refused: it counts as no step, and its episode is dropped.
@@ -57,9 +57,9 @@
     StepOutcome before;
   };
   struct PoolState {
-    Time lastScaleOut{};
-    Time lastScaleIn{};
-    Time previousScaleOut{};  // restored if the last scale-out is refused
+    Time lastScaleOutAt{};
+    Time lastScaleInAt{};
+    Time previousScaleOutAt{};  // restored if the last scale-out is refused
     std::optional<UnscoredStep> unscored;
   };
   // The units of a step before limits and cooldowns, and why they were chosen.
--- a/src/fleet/unplaced_demand.cpp
+++ b/src/fleet/unplaced_demand.cpp
@@ -15,7 +15,7 @@
 // Work without a deadline waits this many seconds for capacity to free up.
 constexpr double kWaitForFreedCapacityS = 10;
 // An instance may take this factor of its catalogue boot time until it helps.
-constexpr double kBootReserve = 1.5;
+constexpr double kBootTimeReserveFactor = 1.5;
 // Weight of a pool's size in the cost of a task: only breaks ties.
 constexpr double kSpreadWeight = 0.001;
 
@@ -32,13 +32,13 @@
 }
 
 // Whether the job should get instances now, or can wait for capacity that frees up.
-bool urgent(const FleetSnapshot& snapshot, const jobs::Job& job, double nominalBootTimeS) {
+bool isUrgent(const FleetSnapshot& snapshot, const jobs::Job& job, double nominalBootTimeS) {
   if (job.spec.priority >= wire::Priority::high) return true;
   // Capacity that frees up by itself comes in pieces.
   if (job.isGang()) return true;
   if (job.spec.deadlineS) {
     const double slackS = static_cast<double>(job.deadlineMs() - snapshot.wallClockMs) / 1000.0 -
-                          job.spec.expectedRunTimeS - kBootReserve * nominalBootTimeS;
+                          job.spec.expectedRunTimeS - kBootTimeReserveFactor * nominalBootTimeS;
     if (slackS < kWaitForFreedCapacityS) return true;
   }
   return wire::toSeconds(snapshot.now - job.waitingSince) >= kWaitForFreedCapacityS;
@@ -125,7 +125,7 @@
   }
 
   // Whether the job may get instances of the pool now.
-  bool mayUse(const QueuedWork& queued, const PoolOffer& pool) const {
+  bool canUse(const QueuedWork& queued, const PoolOffer& pool) const {
     const auto& [key, machineType] = pool;
     const wire::JobSpec& spec = queued.demand.job->spec;
     if (snapshot_.refusedPools.contains(key) ||
@@ -133,7 +133,7 @@
       return false;
     if (!placement::isEligible(spec, key.machineType, key.zone, key.spot)) return false;
     return placement::zoneSpreadAllows(spec, queued.tasksByZone, key.zone) &&
-           urgent(snapshot_, *queued.demand.job, machineType->nominalBootTimeS);
+           isUrgent(snapshot_, *queued.demand.job, machineType->nominalBootTimeS);
   }
 
   // Price of the capacity of one task in the pool; a larger pool in one zone breaks ties the other way, to
@@ -151,7 +151,7 @@
     const PoolOffer* best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
     for (const PoolOffer& pool : pools_) {
-      if (!mayUse(queued, pool)) continue;
+      if (!canUse(queued, pool)) continue;
       const int fit = tasksThatFit(queued.demand.job->spec.taskResources, pool.machineType->capacity);
       if (fit < 1) continue;
       const double cost = taskCost(queued, pool, fit);
--- a/src/jobs/failures.hpp
+++ b/src/jobs/failures.hpp
@@ -25,9 +25,9 @@
   void reset();
 
   // Whether the failures are attributed to the job.
-  bool jobAtFault() const { return retries_ > 0; }
+  bool isJobAtFault() const { return retries_ > 0; }
   // Whether a task of the job failed on the host.
-  bool failedOn(const std::string& host) const { return hosts_.contains(host); }
+  bool hasFailedOn(const std::string& host) const { return hosts_.contains(host); }
   // Distinct machines that tasks failed on, up to `kMaxFailureHosts`.
   std::size_t failedMachineCount() const { return hosts_.size(); }
   // The longest run time of a failed attempt. An attempt that has run for longer counts as a success.
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr char kHex[] = "0123456789abcdef";
 constexpr std::uint32_t kTasksPerHexDigit = 4;
-constexpr int kScaleOutDoublings = 6;  // of a gang's scale-out backoff; keeps the shift in range
+constexpr int kMaxGangScaleOutDoublings = 6;  // of a gang's scale-out backoff; keeps the shift in range
 
 // Names of the enumerators, in their order.
 constexpr std::array<std::string_view, 3> kJobPhaseNames{"accepted", "done", "cancelled"};
@@ -28,13 +28,13 @@
 
 std::string_view name(GangState state) { return kGangStateNames.at(static_cast<std::size_t>(state)); }
 
-void Gang::scaleOutFellShort(Time now) {
+void Gang::recordPartialScaleOut(Time now) {
   ++partialScaleOuts;
   // No backoff the first time: another pool may have what this one lacked.
   if (partialScaleOuts == 1) return;
   const auto backoff =
-      constants::kRefusedPoolBackoff * (1 << std::min(partialScaleOuts - 2, kScaleOutDoublings));
-  nextScaleOut = now + std::min<std::chrono::milliseconds>(backoff, constants::kMaxGangScaleOutBackoff);
+      constants::kRefusedPoolBackoff * (1 << std::min(partialScaleOuts - 2, kMaxGangScaleOutDoublings));
+  nextScaleOutAt = now + std::min<std::chrono::milliseconds>(backoff, constants::kMaxGangScaleOutBackoff);
 }
 
 std::string jobKey(const std::string& ref) { return "jobs/" + ref; }
@@ -63,15 +63,16 @@
   if (next == TaskPhase::placed) lastPlacedAt = now;
   if (next == TaskPhase::waiting) {
     if (waitingCount == 1) waitingSince = now;
-    firstWaiting = std::min(firstWaiting, index);
+    firstWaitingIndex = std::min(firstWaitingIndex, index);
   }
-  while (firstWaiting < spec.taskCount && tasks[firstWaiting] != TaskPhase::waiting) ++firstWaiting;
+  while (firstWaitingIndex < spec.taskCount && tasks[firstWaitingIndex] != TaskPhase::waiting)
+    ++firstWaitingIndex;
 }
 
 void Job::beginTracking(Time now) {
   tasks.assign(spec.taskCount, TaskPhase::waiting);
   waitingCount = spec.taskCount;
-  placedCount = runningCount = completedCount = firstWaiting = 0;
+  placedCount = runningCount = completedCount = firstWaitingIndex = 0;
   doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
@@ -85,7 +86,7 @@
   displayedRunning = runningCount;
   tasks.clear();
   tasks.shrink_to_fit();
-  waitingCount = placedCount = runningCount = completedCount = firstWaiting = 0;
+  waitingCount = placedCount = runningCount = completedCount = firstWaitingIndex = 0;
   doneRevisions.clear();
   dirtyChunks.clear();
   failures.reset();
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -43,10 +43,10 @@
   std::uint64_t attemptNumber = 0;  // the same for all tasks of one attempt
   int consecutiveFailures = 0;
   int partialScaleOuts = 0;  // instance requests in a row that did not get all the machines the gang needs
-  Time nextScaleOut{};       // no instances are requested for the gang before
+  Time nextScaleOutAt{};     // no instances are requested for the gang before
 
   // Records that the cloud gave fewer machines than were requested; backs off from the second time on.
-  void scaleOutFellShort(Time now);
+  void recordPartialScaleOut(Time now);
 
   // The one function that changes the state.
   void setState(GangState next) { state = next; }
@@ -72,7 +72,7 @@
   std::uint32_t placedCount = 0;
   std::uint32_t runningCount = 0;  // of the placed tasks, those that run
   std::uint32_t completedCount = 0;
-  std::uint32_t firstWaiting = 0;                        // no task with a lower index is waiting
+  std::uint32_t firstWaitingIndex = 0;                   // no task with a lower index is waiting
   std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> revision of its completion record
   std::set<std::uint32_t> dirtyChunks;                   // chunks with completions that are not durable yet
   FailureAttribution failures;
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -32,7 +32,7 @@
   return free;
 }
 
-void MachineFaults::clear() {
+void MachineFaults::clearSuspicion() {
   consecutiveErrors = 0;
   failedJobs.clear();
   suspectUntil = {};
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -89,8 +89,8 @@
 // Commands that are sent to the worker directly rather than in the answer to a heartbeat.
 struct DirectCommands {
   bool inFlight = false;
-  bool due = false;  // there are commands that no heartbeat is likely to carry soon
-  Time nextAt{};     // none is sent before
+  bool due = false;   // there are commands that no heartbeat is likely to carry soon
+  Time nextSendAt{};  // none is sent before
 };
 
 // Failures of tasks on a machine, while it is open whether the machine is at fault.
@@ -101,7 +101,7 @@
   bool quarantined = false;          // the machine is at fault: it takes no work any more
 
   // The machine is not suspected any more. A quarantine stays.
-  void clear();
+  void clearSuspicion();
 };
 
 // A machine, booting or up, with its task attempts.
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -6,14 +6,17 @@
 namespace reachhoist::machines {
 
 namespace {
-constexpr std::size_t kHostFrame = 24;     // bytes of quotes, brackets and the flag around a machine's names
-constexpr std::size_t kAttemptFrame = 24;  // bytes of an attempt's number, index and punctuation
-constexpr std::size_t kBatchFrame = 96;    // bytes of the frame and the transaction's marker
+constexpr std::size_t kHostOverheadBytes =
+    24;  // bytes of quotes, brackets and the flag around a machine's names
+constexpr std::size_t kAttemptOverheadBytes = 24;  // bytes of an attempt's number, index and punctuation
+constexpr std::size_t kBatchOverheadBytes = 96;    // bytes of the frame and the transaction's marker
 
 std::size_t hostBytes(const Machine& machine) {
-  return kHostFrame + machine.host.text.size() + machine.machineType.size() + machine.zone.size();
+  return kHostOverheadBytes + machine.host.text.size() + machine.machineType.size() + machine.zone.size();
+}
+std::size_t attemptBytes(const Attempt& attempt) {
+  return kAttemptOverheadBytes + attempt.task.job.text.size();
 }
-std::size_t attemptBytes(const Attempt& attempt) { return kAttemptFrame + attempt.task.job.text.size(); }
 }  // namespace
 
 std::string placementBatchKey(std::uint32_t number) { return "placed/" + std::to_string(number); }
@@ -59,37 +62,37 @@
 }
 
 void PlacementBatchTable::recountBytes(const MachineTable& machines) {
-  for (auto& [number, batch] : batches_) batch.bytes = kBatchFrame;
+  for (auto& [number, batch] : batches_) batch.estimatedBytes = kBatchOverheadBytes;
   std::vector<std::uint32_t> seen;
   for (const auto& [host, machine] : machines.all()) {
     seen.clear();
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch) continue;
       PlacementBatch& batch = batches_[*attempt.batch];
-      batch.bytes += attemptBytes(attempt);
+      batch.estimatedBytes += attemptBytes(attempt);
       if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
       seen.push_back(*attempt.batch);
-      batch.bytes += hostBytes(machine);
+      batch.estimatedBytes += hostBytes(machine);
     }
   }
 }
 
 std::optional<std::uint32_t> PlacementBatchTable::assignBatch(const Machine& machine, const Attempt& attempt,
                                                               std::set<std::uint32_t>& roundBatches,
-                                                              std::size_t roundBatchesMost) {
+                                                              std::size_t maxRoundBatches) {
   // The batch may name the machine already. Counting it again overestimates the size, which is safe.
   const std::size_t bytes = attemptBytes(attempt) + hostBytes(machine);
   const auto addTo = [&](std::uint32_t number) {
-    batches_[number].bytes += bytes;
+    batches_[number].estimatedBytes += bytes;
     roundBatches.insert(number);
     return number;
   };
   for (const std::uint32_t number : roundBatches)
-    if (batches_[number].bytes + bytes <= valueSizeLimit_) return addTo(number);
-  if (roundBatches.size() >= roundBatchesMost) return std::nullopt;
+    if (batches_[number].estimatedBytes + bytes <= valueSizeLimit_) return addTo(number);
+  if (roundBatches.size() >= maxRoundBatches) return std::nullopt;
   if (const auto emptiest = emptiestBatch(roundBatches)) return addTo(*emptiest);
   const std::uint32_t added = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
-  batches_[added].bytes = kBatchFrame;
+  batches_[added].estimatedBytes = kBatchOverheadBytes;
   return addTo(added);
 }
 
@@ -99,24 +102,24 @@
   std::optional<std::uint32_t> emptiest;
   std::size_t leastBytes = 0;
   for (const auto& [number, batch] : batches_) {
-    if (roundBatches.contains(number) || batch.bytes > valueSizeLimit_ / 2) continue;
-    if (emptiest && batch.bytes >= leastBytes) continue;
+    if (roundBatches.contains(number) || batch.estimatedBytes > valueSizeLimit_ / 2) continue;
+    if (emptiest && batch.estimatedBytes >= leastBytes) continue;
     emptiest = number;
-    leastBytes = batch.bytes;
+    leastBytes = batch.estimatedBytes;
   }
   return emptiest;
 }
 
 bool PlacementBatchTable::shrinkBatch(MachineTable& machines, std::uint32_t number,
-                                      std::set<std::uint32_t>& roundBatches, std::size_t roundBatchesMost) {
-  if (fits(number)) return roundBatches.size() < roundBatchesMost;
+                                      std::set<std::uint32_t>& roundBatches, std::size_t maxRoundBatches) {
+  if (fits(number)) return roundBatches.size() < maxRoundBatches;
   for (auto& [host, machine] : machines.all())
-    if (!moveExcess(machine, number, roundBatches, roundBatchesMost)) return false;
-  return fits(number) && roundBatches.size() < roundBatchesMost;
+    if (!moveExcess(machine, number, roundBatches, maxRoundBatches)) return false;
+  return fits(number) && roundBatches.size() < maxRoundBatches;
 }
 
 bool PlacementBatchTable::moveExcess(Machine& machine, std::uint32_t number,
-                                     std::set<std::uint32_t>& roundBatches, std::size_t roundBatchesMost) {
+                                     std::set<std::uint32_t>& roundBatches, std::size_t maxRoundBatches) {
   std::size_t inBatch = 0;
   std::size_t moved = 0;
   for (Attempt& attempt : machine.attempts) {
@@ -124,13 +127,13 @@
     ++inBatch;
     if (fits(number)) continue;
     // One batch of the round stays reserved for the batch that is being shrunk.
-    const auto other = assignBatch(machine, attempt, roundBatches, roundBatchesMost - 1);
+    const auto other = assignBatch(machine, attempt, roundBatches, maxRoundBatches - 1);
     if (!other) return false;
     attempt.batch = other;
-    batches_[number].bytes -= attemptBytes(attempt);
+    batches_[number].estimatedBytes -= attemptBytes(attempt);
     ++moved;
   }
-  if (moved > 0 && moved == inBatch) batches_[number].bytes -= hostBytes(machine);
+  if (moved > 0 && moved == inBatch) batches_[number].estimatedBytes -= hostBytes(machine);
   return true;
 }
 
--- a/src/machines/placement_batches.hpp
+++ b/src/machines/placement_batches.hpp
@@ -14,9 +14,9 @@
 
 // What the leader knows of one stored batch.
 struct PlacementBatch {
-  std::uint64_t revision = 0;   // 0: not written yet
-  std::size_t bytes = 0;        // estimated size of its next value, in JSON form
-  std::set<std::string> hosts;  // machines that its last written value names
+  std::uint64_t revision = 0;      // 0: not written yet
+  std::size_t estimatedBytes = 0;  // estimated size of its next value, in JSON form
+  std::set<std::string> hosts;     // machines that its last written value names
 };
 
 // Key of a batch.
@@ -62,12 +62,12 @@
   // or a new one, which joins `roundBatches`. Nothing if the round may write no further batch.
   std::optional<std::uint32_t> assignBatch(const Machine& machine, const Attempt& attempt,
                                            std::set<std::uint32_t>& roundBatches,
-                                           std::size_t roundBatchesMost);
+                                           std::size_t maxRoundBatches);
   // Makes a batch fit that an earlier version wrote under a larger limit: attempts beyond the limit move to
   // other batches, which join `roundBatches`. Each step is safe by itself: until the batch itself is written,
   // its stored value still names what has moved. Returns whether the batch may be written now.
   bool shrinkBatch(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
-                   std::size_t roundBatchesMost);
+                   std::size_t maxRoundBatches);
   // The next values of the given batches.
   std::map<std::uint32_t, Json> encode(const MachineTable& machines,
                                        const std::set<std::uint32_t>& numbers) const;
@@ -75,8 +75,8 @@
  private:
   // Moves attempts of the machine to other batches until the batch fits. False if there is no batch for one.
   bool moveExcess(Machine& machine, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
-                  std::size_t roundBatchesMost);
-  bool fits(std::uint32_t number) { return batches_[number].bytes <= valueSizeLimit_; }
+                  std::size_t maxRoundBatches);
+  bool fits(std::uint32_t number) { return batches_[number].estimatedBytes <= valueSizeLimit_; }
   // The least full batch that the round does not write yet, if it is at most half full.
   std::optional<std::uint32_t> emptiestBatch(const std::set<std::uint32_t>& roundBatches) const;
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -48,7 +48,8 @@
 }  // namespace
 
 HttpClient::HttpClient(Reactor& reactor, std::size_t maxSockets)
-    : reactor_(reactor), pool_(maxSockets, constants::kMaxIdlePerEndpoint, constants::kClientIdleTimeout) {}
+    : reactor_(reactor),
+      pool_(maxSockets, constants::kMaxIdleConnectionsPerEndpoint, constants::kClientIdleTimeout) {}
 
 std::unique_ptr<Socket> HttpClient::takePooled(const std::string& endpoint) {
   for (;;) {
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -55,7 +55,7 @@
 
 Task<void> HttpServer::serveRequests(ConnectionEntry entry) {
   Connection& connection = *entry;
-  HttpParser parser(HttpParser::Kind::request, constants::kMaxBodyBytes);
+  HttpParser parser(HttpParser::Kind::request, constants::kMaxRequestBodyBytes);
   Time deadline = reactor_.now() + constants::kRequestReadTimeout;
   for (;;) {
     if (!co_await readRequest(connection, parser, deadline)) co_return;
--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -9,7 +9,7 @@
 
 // A task is retried on another machine than it failed on, unless the job itself is at fault.
 bool isAvoided(const Job& job, const Machine& machine) {
-  return !job.failures.jobAtFault() && job.failures.failedOn(machine.host.text);
+  return !job.failures.isJobAtFault() && job.failures.hasFailedOn(machine.host.text);
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
   if (!machine.hasImage(job.spec.image)) {
     const double pullS = machine.pullSeconds(job.spec.imageSizeGb);
     const bool shared = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
-    seconds += shared ? pullS * constants::kSharedFetchCostShare : pullS;
+    seconds += shared ? pullS * constants::kSharedPullCostShare : pullS;
   }
   if (job.spec.allowsSpot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
   const double used =
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -46,8 +46,8 @@
       const double unfinished = job->spec.taskCount - job->completedCount;
       sum.cpus += job->spec.taskResources.vcpus * unfinished;
       sum.gpus += job->spec.taskResources.accelerators * unfinished;
-      if (sum.cpus > team.cpus + constants::kResourceRounding ||
-          sum.gpus > team.gpus + constants::kResourceRounding)
+      if (sum.cpus > team.cpus + constants::kResourceTolerance ||
+          sum.gpus > team.gpus + constants::kResourceTolerance)
         break;
       guaranteed.insert(job->spec.ref.text);
     }
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -56,8 +56,8 @@
   std::vector<const Job*> openJobs;  // all open jobs
   std::vector<Machine*> machines;    // all that are not terminated
   std::size_t maxJobs = 30;          // jobs that may get tasks: each is a condition of the transaction
-  std::size_t maxTasks = constants::kMaxTasksPerRound;
-  std::size_t maxPreemptions = constants::kMaxStopsPerRound;
+  std::size_t maxTasks = constants::kMaxPlacementsPerRound;
+  std::size_t maxPreemptions = constants::kMaxPreemptionsPerRound;
   const shares::Table* shares = nullptr;  // null: no fair shares
   bool mayPreemptForShares = false;       // whether this round may preempt for fair shares
 };
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -29,7 +29,7 @@
   Job& job = *queued.job;
   if (job.waitingCount == 0) return;
   if (std::max(job.backoffUntil, job.failures.backoffUntil()) > state_.input.now) return;
-  const PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
+  const PlacementProgress progress{job.firstWaitingIndex, 0, PlacementLimit::none};
   // A starved job of which nothing runs gets a start even if its group has reached its fair share.
   const bool mustStart = queued.tier == JobTier::starved && job.placedCount == 0;
   if (!mustStart && !state_.isWithinShare(job)) {
@@ -37,7 +37,7 @@
     return;
   }
   if (job.isGang()) return gangs_.place(job);
-  if (job.failures.jobAtFault()) return retryJobAtFault(job);
+  if (job.failures.isJobAtFault()) return retryJobAtFault(job);
   placeTasks(queued, progress, mustStart ? ShareUse::oneBeyond : ShareUse::withinShare);
 }
 
@@ -60,7 +60,7 @@
 
 void Round::retryJobAtFault(Job& job) {
   if (job.placedCount >= constants::kFaultyJobTrialTasks) return;
-  PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
+  PlacementProgress progress{job.firstWaitingIndex, 0, PlacementLimit::none};
   placeUpTo(job, constants::kFaultyJobTrialTasks - job.placedCount, ShareUse::withinShare, progress);
 }
 
@@ -91,7 +91,7 @@
     state_.plan.unplaced.push_back(UnplacedDemand{&job, job.spec.taskCount});
     return;
   }
-  if (job.failures.jobAtFault()) return;
+  if (job.failures.isJobAtFault()) return;
   progress.limit = PlacementLimit::none;
   const std::uint32_t most = tasksPerRound(queued);
   placeUpTo(job, most - std::min(progress.placed, most), ShareUse::leftoverCapacity, progress);
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -69,14 +69,14 @@
   // or contact in one direction are not enough.
   if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > input.now) return false;
   const auto overdue =
-      wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
+      wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatIntervals);
   return input.now - machine.contact.lastHeartbeatAt <= overdue && !machine.spotNoticeAt;
 }
 
 // Whether a command would arrive at once, by all that is known.
 bool RoundState::isReachable(const Machine& machine) const {
   const auto overdue = wire::seconds(
-      input.settings.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + kReachableSlackS);
+      input.settings.workers.heartbeatIntervalS * constants::kOverdueHeartbeatIntervals + kReachableSlackS);
   return machine.contact.tokenAcknowledged && !machine.contact.unreachable &&
          input.now - machine.contact.lastHeartbeatAt <= overdue;
 }
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -15,10 +15,10 @@
   double atOnce = std::numeric_limits<double>::infinity();
   if (team != nullptr && team->cpusMax > 0 && job.spec.taskResources.vcpus > 0)
     atOnce = std::min(
-        atOnce, std::floor(team->cpusMax / job.spec.taskResources.vcpus + constants::kResourceRounding));
+        atOnce, std::floor(team->cpusMax / job.spec.taskResources.vcpus + constants::kResourceTolerance));
   if (team != nullptr && team->gpusMax > 0 && job.spec.taskResources.accelerators > 0)
     atOnce = std::min(atOnce, std::floor(team->gpusMax / job.spec.taskResources.accelerators +
-                                         constants::kResourceRounding));
+                                         constants::kResourceTolerance));
   return std::max(1.0, std::ceil(job.waitingCount / std::max(1.0, atOnce)));
 }
 
@@ -28,7 +28,7 @@
   const double runs = sequentialRuns(job, settings);
   const double expectedRunTimeS = job.spec.expectedRunTimeS;
   // Estimates are often wrong by half: an SLO is given up only when it would be missed by that much.
-  const double slackS = expectedRunTimeS * constants::kEstimateSlack;
+  const double slackS = expectedRunTimeS * constants::kRunTimeEstimateSlackShare;
   const double ageS = static_cast<double>(wallClockMs - job.acceptedAtMs) / 1000.0;
   double best = std::numeric_limits<double>::infinity();
   bool any = false;
--- a/src/placement/slo.hpp
+++ b/src/placement/slo.hpp
@@ -13,7 +13,7 @@
 };
 
 // The job's outlook at `wallClockMs` (milliseconds since the epoch). Estimates may be off by
-// `kEstimateSlack` of the expected run time before an SLO is given up. Never fails.
+// `kRunTimeEstimateSlackShare` of the expected run time before an SLO is given up. Never fails.
 SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallClockMs);
 
 }  // namespace reachhoist::placement
--- a/src/placement/team_quotas.cpp
+++ b/src/placement/team_quotas.cpp
@@ -20,10 +20,10 @@
   if (team->cpusMax <= 0 && team->gpusMax <= 0) return true;
   const TeamUsage usage = usageOf(job.spec.team);
   const wire::Resources& task = job.spec.taskResources;
-  if (team->cpusMax > 0 && usage.cpus + task.vcpus * tasks > team->cpusMax + constants::kResourceRounding)
+  if (team->cpusMax > 0 && usage.cpus + task.vcpus * tasks > team->cpusMax + constants::kResourceTolerance)
     return false;
   return !(team->gpusMax > 0 &&
-           usage.gpus + task.accelerators * tasks > team->gpusMax + constants::kResourceRounding);
+           usage.gpus + task.accelerators * tasks > team->gpusMax + constants::kResourceTolerance);
 }
 
 std::uint32_t TeamQuotas::tasksWithinLimit(const jobs::Job& job, std::uint32_t tasks) const {
@@ -31,13 +31,13 @@
   if (team == nullptr || team->cpusMax <= 0) return tasks;
   const double freeCpus = team->cpusMax - usageOf(job.spec.team).cpus;
   const double fitting = freeCpus / std::max(job.spec.taskResources.vcpus, constants::kMinCpuDivisor) +
-                         constants::kResourceRounding;
+                         constants::kResourceTolerance;
   return std::min(tasks, static_cast<std::uint32_t>(std::max(0.0, fitting)));
 }
 
 bool TeamQuotas::exceedsGuarantee(const std::string& name) const {
   const config::Team* team = settings_.team(name);
-  return team != nullptr && team->cpus > 0 && usageOf(name).cpus > team->cpus + constants::kResourceRounding;
+  return team != nullptr && team->cpus > 0 && usageOf(name).cpus > team->cpus + constants::kResourceTolerance;
 }
 
 bool TeamQuotas::anyExceedsGuarantee() const {
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -29,7 +29,7 @@
   // The worker got commands under this term, or was redirected a moment ago, so it knows the leader and came
   // here all the same.
   return heartbeat.fencingToken >= cluster::fencingToken(leadership_.term(), 0) ||
-         context_.now - route.redirectedAt < constants::kRedirectMemory;
+         context_.now - route.redirectedAt < constants::kRedirectRetention;
 }
 
 bool HeartbeatRelay::mustRetryDirectPath(const WorkerRoute& route) const {
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -27,9 +27,9 @@
   // The tasks of an array may run one after another.
   const double concurrentTasks = spec.kind == wire::JobKind::array ? 1 : spec.taskCount;
   const bool cpus = team.cpusMax > 0 &&
-                    spec.taskResources.vcpus * concurrentTasks > team.cpusMax + constants::kResourceRounding;
+                    spec.taskResources.vcpus * concurrentTasks > team.cpusMax + constants::kResourceTolerance;
   const bool gpus = team.gpusMax > 0 && spec.taskResources.accelerators * concurrentTasks >
-                                            team.gpusMax + constants::kResourceRounding;
+                                            team.gpusMax + constants::kResourceTolerance;
   return cpus || gpus;
 }
 
@@ -57,7 +57,7 @@
   jobs::Job job;
   job.spec = spec;
   const auto bytes = static_cast<double>(jobs::encodeOpen(job).dump().size());
-  return bytes <= settings.stateLimits.maxValueKib * kBytesPerKb * constants::kMaxValueFill;
+  return bytes <= settings.stateLimits.maxValueKib * kBytesPerKb * constants::kMaxValueFillShare;
 }
 
 }  // namespace
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -63,7 +63,7 @@
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   const bool known = job != nullptr && job->isOpen() && attempt.task.index < job->tasks.size();
   if (cause == wire::Cause::done && !attempt.isService) {
-    machine.faults.clear();
+    machine.faults.clearSuspicion();
     if (known) complete(attempt.task);
     return;
   }
@@ -121,7 +121,7 @@
   if (job.tasks[task.index] == jobs::TaskPhase::completed) return;
   if (job.isGang()) return gangs_.complete(job);
   job.setTaskPhase(task.index, jobs::TaskPhase::completed, context_.now);
-  if (job.failures.jobAtFault()) job.failures.reset();
+  if (job.failures.isJobAtFault()) job.failures.reset();
   records_.taskCompleted(task);
   state_.requestPlacementRound();
 }
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -27,7 +27,7 @@
   if (!context_.catalog || !state_.holdsLeaderLease()) return;
   // Machines that are up make themselves known first; else a new leader would request the whole fleet again.
   if (!state_.heardFromWorkers() && !state_.machines.all().empty()) return;
-  if (sizing_.due(context_.now)) sizingRound();
+  if (sizing_.isRoundDue(context_.now)) sizingRound();
   if (context_.now < nextScaleOut_) return;
   nextScaleOut_ = context_.now + constants::kScaleOutInterval;
   fleet::FleetSnapshot snapshot = fleetSnapshot();
@@ -93,7 +93,7 @@
   if (refused > 0) {
     for (const std::string& ref : gangs)
       if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
-        job->gang.scaleOutFellShort(context_.now);
+        job->gang.recordPartialScaleOut(context_.now);
     refusedUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -23,7 +23,7 @@
 // would throw away machines that are about to come up.
 void BootMonitor::detectTimeouts() {
   // Heartbeats that were sent while nobody listened arrive first.
-  const auto settle = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  const auto settle = state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1);
   if (context_.now - state_.listeningSince() < settle) return;
   const fleet::BootCohorts cohorts(state_.existingMachines());
   for (auto& [host, machine] : state_.machines.all()) {
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -15,14 +15,14 @@
   prober_.probeUnheard();
   partitions_.observe(state_.machines, context_.now);
   const auto listeningFor = context_.now - state_.listeningSince();
-  const bool settled = listeningFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
+  const bool settled = listeningFor > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
                        state_.holdsLeaderLease();
   if (partitions_.mostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.reviewFaultyJobs();
   for (auto& [host, machine] : state_.machines.all())
     if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, settled);
-  if (listeningFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) &&
+  if (listeningFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) &&
       state_.holdsLeaderLease())
     failover_.moveServices();
 }
@@ -73,19 +73,20 @@
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
   const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
   const bool maybePartitioned = partitions_.doubtful(machine.zone);
-  if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
+  if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
       (leaseExpired || !maybePartitioned))
     lifecycle_.decommission(machine, "missed heartbeats");
-  if (silentFor > state_.heartbeatTimeout(constants::kProbeAfterHeartbeats, 1)) prober_.probeOverdue(machine);
+  if (silentFor > state_.heartbeatTimeout(constants::kProbeHeartbeatIntervals, 1))
+    prober_.probeOverdue(machine);
   // Overdue and unreachable as well: no need to wait for a third heartbeat.
   if (machine.contact.unreachable &&
-      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) && !maybePartitioned)
+      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) && !maybePartitioned)
     lifecycle_.decommission(machine, "unreachable");
   // It sends heartbeats, but nothing from here arrives: its lease has expired, and it can't run work.
   const bool unacknowledged = !machine.contact.tokenAcknowledged &&
                               machine.contact.unacknowledgedSince != Time{} &&
                               context_.now - machine.contact.unacknowledgedSince >
-                                  context_.settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
+                                  context_.settings.leaseExpiry() + constants::kUnacknowledgedTokenTimeout;
   if (unacknowledged && machine.phase == MachinePhase::up)
     lifecycle_.decommission(machine, "token not acknowledged");
 }
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -10,7 +10,7 @@
 constexpr double kFirstHeartbeats = 1.5;
 
 std::size_t valueSizeLimitOf(const config::Settings& settings) {
-  return static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxBatchFill);
+  return static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxBatchFillShare);
 }
 }  // namespace
 
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -47,7 +47,7 @@
   double capacity = capacityForServices();
   const auto moveAfter = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   // A machine not heard from in this term may have been partitioned from the earlier leader for long.
-  const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1);
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
     const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -10,7 +10,7 @@
   const bool ran = attempt.runningSince != Time{};
   job->failures.recordFailure(machine.host.text,
                               ran ? context_.now - attempt.runningSince : wire::Duration{});
-  if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
+  if (job->failures.isJobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // It failed on every machine: a few of its tasks are retried ever more rarely until its user cancels it.
     if (faultyJobs_.insert(ref).second) {
       context_.event(Level::info, "job_faulty", {{"job", ref}});
@@ -26,18 +26,19 @@
 
 void TaskFailurePolicy::clearMachineSuspicion(const std::string& ref) {
   for (auto& [host, machine] : state_.machines.all())
-    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty()) machine.faults.clear();
+    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty())
+      machine.faults.clearSuspicion();
 }
 
 void TaskFailurePolicy::reviewFaultyJobs() {
   for (auto at = faultyJobs_.begin(); at != faultyJobs_.end();) {
     jobs::Job* job = state_.jobs.find(*at);
     const bool ended = job == nullptr || !job->isOpen();
-    if (!ended && job->failures.jobAtFault() && !succeedsElsewhere(*at, std::nullopt)) {
+    if (!ended && job->failures.isJobAtFault() && !succeedsElsewhere(*at, std::nullopt)) {
       ++at;
       continue;
     }
-    if (!ended && job->failures.jobAtFault()) {
+    if (!ended && job->failures.isJobAtFault()) {
       job->failures.reset();
       state_.requestPlacementRound();
     }
@@ -75,7 +76,7 @@
     const jobs::Job* job = state_.jobs.find(ref);
     if (job != nullptr && job->isOpen() && job->failures.failedMachineCount() < 2) allJobsFaulty = false;
   }
-  if (allJobsFaulty) machine.faults.clear();
+  if (allJobsFaulty) machine.faults.clearSuspicion();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -132,7 +132,7 @@
   for (auto at = dueHosts_.begin(); at != dueHosts_.end() && mayCall();) {
     Machine* machine = state_.machines.find(*at);
     const bool due = machine != nullptr && machine->directCommands.due;
-    if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextAt)) {
+    if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextSendAt)) {
       ++at;
       continue;
     }
@@ -194,7 +194,7 @@
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
   // The commands are void once the worker has seen the higher token.
   if (result.sent && call.token == fencingTokenOf(machine)) requireNewToken(machine);
-  machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
+  machine.directCommands.nextSendAt = context_.now + constants::kWorkerCallTimeout;
   context_.event(Level::info, "command_unanswered",
                  {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
 }
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -19,7 +19,8 @@
 }
 
 void WorkerProber::probeUnheard() {
-  if (context_.now - state_.actingSince < constants::kProbeUnheardDelay || !state_.holdsLeaderLease()) return;
+  if (context_.now - state_.actingSince < constants::kTakeoverProbeDelay || !state_.holdsLeaderLease())
+    return;
   unsigned left =
       std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kUnheardCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
@@ -34,7 +35,7 @@
 
 void WorkerProber::probeRelayed() {
   std::size_t probed = 0;
-  const auto overdue = state_.heartbeatTimeout(constants::kOverdueAfterHeartbeats, 0.5);
+  const auto overdue = state_.heartbeatTimeout(constants::kOverdueHeartbeatIntervals, 0.5);
   for (auto& [host, machine] : state_.machines.all()) {
     if (probed == constants::kDirectProbeSamples || !commands_.mayCall()) return;
     const bool relayed = context_.now - machine.contact.lastHeartbeatAt <= overdue &&
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -26,7 +26,7 @@
 
 PartitionDetector::Count PartitionDetector::countOf(const Machine& machine, Time now) const {
   const auto overdue =
-      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueHeartbeatIntervals + 0.5);
   Count out;
   out.up = 1;
   out.quiet = now - machine.contact.lastHeartbeatAt > overdue ? 1 : 0;
@@ -68,7 +68,7 @@
   // A network partition makes all machines of a zone quiet within a heartbeat interval. The zone counts as
   // partitioned for a while after that, since relay brings its machines back one by one.
   const auto rememberFor =
-      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatIntervals);
   doubtful_.clear();
   for (const auto& [zone, count] : zones) {
     if (suggestsPartition(count.quiet, count.up)) partitionedUntil_[zone] = now + rememberFor;
--- a/src/shares/table.cpp
+++ b/src/shares/table.cpp
@@ -109,7 +109,7 @@
     if (auto problem = checkWeight("group " + share.group.str() + " weight", share.weight)) return problem;
   }
   const auto most =
-      static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxValueFill);
+      static_cast<std::size_t>(settings.stateLimits.maxValueKib * 1024 * constants::kMaxValueFillShare);
   if (encode(table).dump().size() > most)
     return FieldError{"groups", "make a record of more than " + std::to_string(most) + " bytes"};
   return std::nullopt;
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -55,7 +55,7 @@
     if (found == free_.end()) return tasks;
     double fit = std::floor(std::max(0.0, found->second) /
                                 std::max(job.spec.taskResources.vcpus, constants::kMinCpuDivisor) +
-                            constants::kResourceRounding);
+                            constants::kResourceTolerance);
     if (job.isGang() && fit < tasks) fit = 0;
     fit = std::min(fit, tasks);
     found->second -= fit * job.spec.taskResources.vcpus;
@@ -82,7 +82,7 @@
 void addDemand(const jobs::Job& job, TeamQuota& quota, UsageSnapshot& usage) {
   JobStanding& standing = usage.jobs.at(job.spec.ref.text);
   GroupLoad& load = usage.loads[standing.group];
-  const bool counts = !job.failures.jobAtFault() && isServable(job.spec.taskResources, usage.capacity);
+  const bool counts = !job.failures.isJobAtFault() && isServable(job.spec.taskResources, usage.capacity);
   const double waiting = counts ? quota.take(job, job.waitingCount) : 0;
   const Resources demand = times(job.spec.taskResources, standing.placed + waiting);
   load.demand += demand;
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -46,7 +46,7 @@
             : leading
                 ? constants::kLeaderBudgetShare
                 : std::min(constants::kFollowerBudgetShare, (1 - constants::kLeaderBudgetShare) / others)) *
-           constants::kRateLimitUtilization);
+           constants::kUsableRateShare);
 }
 
 void Client::transact(Time now, Urgency urgency, const Transaction& transaction, Done done) {
