--- a/src/fleet/boot_times.cpp
+++ b/src/fleet/boot_times.cpp
@@ -1,4 +1,4 @@
-// Boot-time history and launch cohorts.
+// Boot history and launch cohorts.
 #include "fleet/boot_times.hpp"
 
 #include <algorithm>
@@ -54,15 +54,16 @@
 double BootHistory::costFactor(const std::string& machineType, const std::string& zone, Time now) const {
   const auto found = records_.find({machineType, zone});
   if (found == records_.end()) return 1;
-  double up = 0;
-  double all = 0;
+  double succeededBoots = 0;
+  double recentBoots = 0;
   for (const Boot& boot : found->second) {
     if (now - boot.recordedAt >= constants::kBootHistoryWindow) continue;
-    ++all;
-    if (boot.succeeded) ++up;
+    ++recentBoots;
+    if (boot.succeeded) ++succeededBoots;
   }
-  // One more success than were seen: a pool is never written off, and a single failure weighs little.
-  return (all + 1) / (up + 1);
+  // One success is added to those recorded, so that no pool is excluded for good and a single failure weighs
+  // little.
+  return (recentBoots + 1) / (succeededBoots + 1);
 }
 
 BootCohorts::BootCohorts(const std::vector<Machine*>& machines) {
@@ -78,9 +79,9 @@
   std::size_t up = 0;
   std::size_t booting = 0;
   for (const Launch& other : found->second) {
-    const auto apart = other.requestedAt - machine.provisionedAt;
-    if (apart < -constants::kBootCohortWindow || apart > constants::kBootCohortWindow) continue;
-    ++(other.up ? up : booting);
+    const auto offset = other.requestedAt - machine.provisionedAt;
+    if (offset < -constants::kBootCohortWindow || offset > constants::kBootCohortWindow) continue;
+    ++(other.isUp ? up : booting);
   }
   return up > booting || up + booting < constants::kMinBootSamples;
 }
--- a/src/fleet/boot_times.hpp
+++ b/src/fleet/boot_times.hpp
@@ -1,5 +1,5 @@
-// Boot times of recent instances: when a booting instance counts as overdue, when its boot times out, and
-// which pools often fail to boot.
+// Boot times of recent instances. They determine when the boot of an instance counts as overdue, when it
+// times out, and which pools often fail to boot.
 #pragma once
 
 #include <deque>
@@ -12,26 +12,26 @@
 
 namespace reachhoist::fleet {
 
-// Recent boots per machine type and zone, forgotten after constants::kBootHistoryWindow.
+// Recent boots per machine type and zone. Boots older than constants::kBootHistoryWindow do not count.
 class BootHistory {
  public:
   using Time = wire::Time;
   using Duration = wire::Duration;
 
-  // An instance came up `startupLatency` after its instance request.
+  // Records that an instance came up `startupLatency` after its instance request.
   void recordBoot(const std::string& machineType, const std::string& zone, Duration startupLatency, Time now);
-  // An instance never came up and was given up.
+  // Records that an instance was given up because its boot timed out.
   void recordBootTimeout(const std::string& machineType, const std::string& zone, Time now);
 
-  // How long after its instance request an instance of this type and zone is expected to be up, given the
-  // catalogue's boot time `nominalBootTimeS` in seconds.
+  // The time from its instance request within which an instance of this type and zone is expected to be up.
+  // `nominalBootTimeS` is the catalogue's boot time in seconds.
   Duration expectedBootTime(const std::string& machineType, const std::string& zone, double nominalBootTimeS,
                             Time now) const;
-  // After how long from its instance request a booting instance is given up, if others of its launch cohort
-  // have come up.
+  // The time from its instance request after which a booting instance is given up, if others of its launch
+  // cohort have come up.
   Duration bootTimeout(const std::string& machineType, const std::string& zone, double nominalBootTimeS,
                        Time now) const;
-  // How much dearer a pool's instances are for those that never come up: 1 where all come up.
+  // The factor by which boots that time out raise the cost of a pool's instances: 1 where all come up.
   double costFactor(const std::string& machineType, const std::string& zone, Time now) const;
 
  private:
@@ -48,19 +48,20 @@
   std::map<Key, std::deque<Boot>> records_;
 };
 
-// The booting and running instances grouped by when they were requested: those that have come up show whether
-// the others are late.
+// The booting and running instances with their request times. Within a launch cohort, the instances that have
+// come up show whether the boots of the others are overdue.
 class BootCohorts {
  public:
   explicit BootCohorts(const std::vector<machines::Machine*>& machines);
-  // Whether most instances of the machine's type and zone that were requested at about the same time are up.
-  // Where none has come up, all are slow, and another instance would be as slow; a few alone don't tell.
+  // Whether most instances of the machine's launch cohort are up: those of its type and zone that were
+  // requested at about the same time. If none of them is up, another instance would boot as slowly. A cohort
+  // smaller than constants::kMinBootSamples gives no evidence, so the machine counts as lagging.
   bool lagsCohort(const machines::Machine& machine) const;
 
  private:
   struct Launch {
     wire::Time requestedAt{};
-    bool up = false;
+    bool isUp = false;
   };
   std::map<std::pair<std::string, std::string>, std::vector<Launch>> launches_;
 };
--- a/src/fleet/episodes.cpp
+++ b/src/fleet/episodes.cpp
@@ -1,4 +1,4 @@
-// Similarity, episode buffer and the choice of a step (after SAIR).
+// Similarity of contexts, episode buffer and choice of a step (after SAIR).
 #include "fleet/episodes.hpp"
 
 #include <algorithm>
@@ -22,61 +22,62 @@
   if (episodes_.size() > constants::kMaxEpisodes) episodes_.erase(episodes_.begin());
 }
 
-std::vector<double> EpisodeBuffer::relevance(const PoolContext& now) const {
+std::vector<double> EpisodeBuffer::relevance(const PoolContext& current) const {
   double sum = 0;
   for (const Episode& episode : episodes_) sum += episode.payoff;
-  const std::size_t n = episodes_.size();
-  std::vector<double> score(n);
-  for (std::size_t i = 0; i < n; ++i) {
-    const double others = n > 1 ? (sum - episodes_[i].payoff) / static_cast<double>(n - 1) : 0;
-    score[i] = similarity(episodes_[i].context, now) * std::abs(episodes_[i].payoff - others);
+  const std::size_t episodeCount = episodes_.size();
+  std::vector<double> scores(episodeCount);
+  for (std::size_t i = 0; i < episodeCount; ++i) {
+    const double meanOfOthers =
+        episodeCount > 1 ? (sum - episodes_[i].payoff) / static_cast<double>(episodeCount - 1) : 0;
+    scores[i] = similarity(episodes_[i].context, current) * std::abs(episodes_[i].payoff - meanOfOthers);
   }
-  return score;
+  return scores;
 }
 
-std::vector<Episode> EpisodeBuffer::retrieve(const PoolContext& now, std::size_t count) const {
-  const std::vector<double> score = relevance(now);
-  const std::size_t n = episodes_.size();
-  std::vector<bool> retrieved(n, false);
-  std::vector<Episode> out;
-  while (out.size() < count) {
+std::vector<Episode> EpisodeBuffer::retrieve(const PoolContext& current, std::size_t count) const {
+  const std::vector<double> scores = relevance(current);
+  const std::size_t episodeCount = episodes_.size();
+  std::vector<bool> retrieved(episodeCount, false);
+  std::vector<Episode> chosenEpisodes;
+  while (chosenEpisodes.size() < count) {
     double bestGain = -std::numeric_limits<double>::max();
-    std::size_t best = n;
-    for (std::size_t i = 0; i < n; ++i) {
+    std::size_t best = episodeCount;
+    for (std::size_t i = 0; i < episodeCount; ++i) {
       if (retrieved[i]) continue;
-      double gain = score[i];
-      for (const Episode& chosen : out)
+      double gain = scores[i];
+      for (const Episode& chosen : chosenEpisodes)
         gain -= constants::kDiversityWeight * similarity(episodes_[i].context, chosen.context);
       if (gain > bestGain) {
         bestGain = gain;
         best = i;
       }
     }
-    if (best == n) break;
+    if (best == episodeCount) break;
     retrieved[best] = true;
-    out.push_back(episodes_[best]);
+    chosenEpisodes.push_back(episodes_[best]);
   }
-  return out;
+  return chosenEpisodes;
 }
 
-std::optional<StepChoice> chooseStep(const std::vector<Episode>& retrieved, const PoolContext& now) {
+std::optional<StepChoice> chooseStep(const std::vector<Episode>& retrieved, const PoolContext& current) {
   struct Evidence {
-    double weightedPayoff = 0;  // sum of similarity times payoff
-    double weight = 0;          // sum of similarity
+    double weightedPayoffSum = 0;  // of similarity times payoff
+    double similaritySum = 0;
     std::size_t episodes = 0;
   };
-  std::map<int, Evidence> evidence;  // by units
+  std::map<int, Evidence> evidence;  // by units of the step
   for (const Episode& episode : retrieved) {
-    const double weight = similarity(episode.context, now);
+    const double weight = similarity(episode.context, current);
     if (weight < constants::kMinSimilarity) continue;
     Evidence& step = evidence[episode.units];
-    step.weightedPayoff += weight * episode.payoff;
-    step.weight += weight;
+    step.weightedPayoffSum += weight * episode.payoff;
+    step.similaritySum += weight;
     ++step.episodes;
   }
   std::optional<StepChoice> best;
   for (const auto& [units, step] : evidence) {
-    const double value = step.weightedPayoff / step.weight;
+    const double value = step.weightedPayoffSum / step.similaritySum;
     if (!best || value > best->value) best = StepChoice{units, value, step.episodes};
   }
   return best;
@@ -84,12 +85,12 @@
 
 namespace {
 
-// Whole thousandths: shorter, and exact to read back.
+// Rounds to thousandths, which are short in JSON and read back exactly.
 double rounded(double value) { return std::round(value * 1000) / 1000; }
 
 bool isFiniteNumber(const Json& value) { return value.is_number() && std::isfinite(value.get<double>()); }
 
-// An episode as an array of its units, its payoff and the features of its context; nothing if malformed.
+// Decodes an array of an episode's units, its payoff and the features of its context. Nothing if malformed.
 std::optional<Episode> decodeEpisode(const Json& entry) {
   if (!entry.is_array() || entry.size() != kContextFeatures + 2 || !entry[0].is_number_integer() ||
       !std::all_of(entry.begin(), entry.end(), isFiniteNumber))
--- a/src/fleet/headroom.cpp
+++ b/src/fleet/headroom.cpp
@@ -1,4 +1,4 @@
-// The headroom on on-demand machines.
+// The headroom of free vCPUs on on-demand machines.
 #include "fleet/headroom.hpp"
 
 #include <algorithm>
@@ -13,13 +13,13 @@
 }
 
 Headroom::Headroom(const FleetSnapshot& snapshot) {
-  double production = 0;
+  double usedCpus = 0;
   for (const Machine* machine : snapshot.machines) {
     if (machine->phase != machines::MachinePhase::up) continue;
-    production += productionCpus(*machine);
+    usedCpus += productionCpus(*machine);
     if (!machine->spot) freeCpus_ += std::max(0.0, machine->freeCapacity().vcpus);
   }
-  requiredCpus_ = production * snapshot.settings.operators.headroomShare;
+  requiredCpus_ = usedCpus * snapshot.settings.operators.headroomShare;
 }
 
 bool Headroom::allowsRelease(const Machine& machine) const {
--- a/src/fleet/headroom.hpp
+++ b/src/fleet/headroom.hpp
@@ -1,21 +1,21 @@
-// The headroom that scale-in leaves free for the next services.
+// The headroom: capacity that scale-in leaves free for the next services.
 #pragma once
 
 #include "fleet/snapshot.hpp"
 
 namespace reachhoist::fleet {
 
-// vCPUs that production work holds on the machine.
+// The vCPUs that production work holds on the machine.
 double productionCpus(const Machine& machine);
 
-// The headroom: free vCPUs on on-demand machines that are up, against the share of production work's vCPUs
-// that must stay free for the next services. Idle machines are released only beyond it.
+// The headroom consists of the free vCPUs on on-demand machines that are up. It must not fall below a share
+// of the vCPUs that production work uses, so idle machines are released only beyond that.
 class Headroom {
  public:
   explicit Headroom(const FleetSnapshot& snapshot);
-  // Whether the headroom holds without this machine. Spot machines are no part of it.
+  // Whether the headroom suffices without this machine. Spot machines do not count towards it.
   bool allowsRelease(const Machine& machine) const;
-  // Counts the machine as released: its vCPUs leave the headroom.
+  // Counts the machine as released, which takes its vCPUs from the headroom.
   void release(const Machine& machine);
 
  private:
--- a/src/fleet/pareto.cpp
+++ b/src/fleet/pareto.cpp
@@ -17,13 +17,14 @@
 }
 
 double ParetoFrontier::contribution(const ParetoPoint& point) const {
-  // The points sorted by wait have falling cost: the area between the point and the staircase, up to (1, 1).
+  // Points of the frontier that are sorted by wait have falling cost. The contribution is the area between
+  // the point and this staircase, up to (1, 1).
   std::vector<ParetoPoint> sorted = points_;
   std::sort(sorted.begin(), sorted.end(),
             [](const ParetoPoint& a, const ParetoPoint& b) { return a.wait < b.wait; });
   double area = 0;
   double left = point.wait;
-  double maxCost = 1;  // cost below which nothing to the left dominates yet
+  double maxCost = 1;  // least cost of the frontier points to the left
   for (const ParetoPoint& other : sorted) {
     if (other.wait <= point.wait) {
       maxCost = std::min(maxCost, other.cost);
@@ -38,10 +39,10 @@
 }
 
 double ParetoFrontier::distance(const ParetoPoint& point) const {
-  double best = std::numeric_limits<double>::max();
+  double nearest = std::numeric_limits<double>::max();
   for (const ParetoPoint& other : points_)
-    best = std::min(best, std::hypot(other.wait - point.wait, other.cost - point.cost));
-  return points_.empty() ? 0 : best;
+    nearest = std::min(nearest, std::hypot(other.wait - point.wait, other.cost - point.cost));
+  return points_.empty() ? 0 : nearest;
 }
 
 void ParetoFrontier::update(const ParetoPoint& point) {
--- a/src/fleet/pareto.hpp
+++ b/src/fleet/pareto.hpp
@@ -1,4 +1,4 @@
-// The Pareto frontier of queue wait and cost.
+// The Pareto frontier of queue wait and cost, with which steps are scored.
 #pragma once
 
 #include <vector>
@@ -16,12 +16,12 @@
  public:
   // Whether no point of the frontier dominates this one.
   bool isNonDominated(const ParetoPoint& point) const;
-  // Area that the point adds to what the frontier dominates, up to the reference point (1, 1).
+  // The area that the point adds to the area dominated by the frontier, up to the reference point (1, 1).
   double contribution(const ParetoPoint& point) const;
-  // Euclidean distance to the nearest point of the frontier; 0 for an empty frontier.
+  // The Euclidean distance to the nearest point of the frontier, or 0 if the frontier is empty.
   double distance(const ParetoPoint& point) const;
-  // Adds the point if it is non-dominated, dropping the points it dominates (and the oldest beyond the
-  // limit).
+  // Adds the point if it is non-dominated. Drops the points that it dominates, and the oldest point beyond
+  // the limit.
   void update(const ParetoPoint& point);
   // The points, oldest first.
   const std::vector<ParetoPoint>& points() const { return points_; }
--- a/src/fleet/payoff.cpp
+++ b/src/fleet/payoff.cpp
@@ -17,9 +17,9 @@
   const double wait =
       constants::kWaitWeight * (outcome.waitBeforeS - outcome.waitAfterS) / outcome.waitBaselineS;
   const double cost = -constants::kCostWeight * (outcome.costAfter - outcome.costBefore) / outcome.costBudget;
-  const double over = outcome.waitAfterS / outcome.targetS;
-  const double penalty = over > 1 ? 1 - over * over : 0;
-  // Severity before the step times the size of the step, half a unit more for having acted at all.
+  const double waitRatio = outcome.waitAfterS / outcome.targetS;
+  const double penalty = waitRatio > 1 ? 1 - waitRatio * waitRatio : 0;
+  // The bonus is the severity before the step times the size of the step. Any step counts half a unit more.
   const double severity = std::max(0.0, outcome.waitBeforeS / outcome.targetS - 1);
   const double magnitude = std::abs(outcome.units) + (outcome.units != 0 ? 0.5 : 0.0);
   const double proactive = severity * magnitude * constants::kProactiveWeight;
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -1,4 +1,4 @@
-// Pending instances and the queued work that pending capacity does not cover.
+// Pending instances, and the queued work that their free capacity does not cover.
 #include "fleet/pending_instances.hpp"
 
 #include <string_view>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The catalogue's boot time of the machine's type; zero for a type that the catalogue no longer offers.
+// The catalogue's boot time of the machine's type, or zero for a type that the catalogue no longer offers.
 double catalogBootTimeS(const FleetSnapshot& snapshot, const Machine& machine) {
   double nominalBootTimeS = 0;
   for (const wire::MachineType& machineType : snapshot.catalog)
@@ -30,23 +30,23 @@
 }
 
 std::vector<PendingInstance> pendingInstances(const FleetSnapshot& snapshot) {
-  std::vector<PendingInstance> out;
+  std::vector<PendingInstance> pending;
   const BootCohorts cohorts(snapshot.machines);
   for (const Machine* machine : snapshot.machines) {
     if (machine->phase == MachinePhase::booting) {
       if (!isStraggler(snapshot, cohorts, *machine))
-        out.push_back(PendingInstance{poolOf(*machine), machine->capacity});
+        pending.push_back(PendingInstance{poolOf(*machine), machine->capacity});
     } else if (machine->phase == MachinePhase::up && !machine->contact.tokenAcknowledged &&
                !machine->spotNoticeAt) {
-      out.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
+      pending.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
     }
   }
   for (const auto& [key, machineType] : offeredPools(snapshot.catalog)) {
     const auto found = snapshot.pendingRequests.find(key);
     for (std::size_t i = 0; found != snapshot.pendingRequests.end() && i < found->second; ++i)
-      out.push_back(PendingInstance{key, machineType->capacity});
+      pending.push_back(PendingInstance{key, machineType->capacity});
   }
-  return out;
+  return pending;
 }
 
 void packInto(QueuedWork& queued, PendingInstance& instance) {
@@ -73,34 +73,35 @@
 }
 
 std::vector<QueuedWork> queuedWork(const FleetSnapshot& snapshot,
-                                   const std::vector<placement::UnplacedDemand>& work, bool withPartitioned) {
-  std::vector<QueuedWork> out;
-  std::unordered_map<std::string_view, ZoneCount*> zoned;
-  out.reserve(work.size());
+                                   const std::vector<placement::UnplacedDemand>& work,
+                                   bool countPartitioned) {
+  std::vector<QueuedWork> queue;
+  std::unordered_map<std::string_view, ZoneCount*> zoneCounts;  // of the jobs with zone constraints
+  queue.reserve(work.size());
   for (const placement::UnplacedDemand& demand : work) {
-    out.push_back(QueuedWork{demand, {}});
+    queue.push_back(QueuedWork{demand, {}});
     if (demand.job->spec.spreadZones || demand.job->spec.singleZone)
-      zoned[demand.job->spec.ref.text] = &out.back().tasksByZone;
+      zoneCounts[demand.job->spec.ref.text] = &queue.back().tasksByZone;
   }
-  if (zoned.empty()) return out;
+  if (zoneCounts.empty()) return queue;
   for (const Machine* machine : snapshot.machines) {
-    if (!withPartitioned && isPartitioned(snapshot, *machine)) continue;
+    if (!countPartitioned && isPartitioned(snapshot, *machine)) continue;
     for (const machines::Attempt& attempt : machine->attempts) {
       if (!attempt.holdsCapacity()) continue;
-      const auto found = zoned.find(attempt.task.job.text);
-      if (found != zoned.end()) ++(*found->second)[machine->zone];
+      const auto found = zoneCounts.find(attempt.task.job.text);
+      if (found != zoneCounts.end()) ++(*found->second)[machine->zone];
     }
   }
-  return out;
+  return queue;
 }
 
 std::vector<QueuedWork> uncoveredWork(const FleetSnapshot& snapshot, std::vector<PendingInstance>& pending) {
-  std::vector<QueuedWork> out;
+  std::vector<QueuedWork> uncovered;
   for (QueuedWork& queued : queuedWork(snapshot, snapshot.unplaced, true)) {
     if (inScaleOutBackoff(snapshot, queued.demand)) continue;
-    if (!packIntoAny(queued, pending)) out.push_back(std::move(queued));
+    if (!packIntoAny(queued, pending)) uncovered.push_back(std::move(queued));
   }
-  return out;
+  return uncovered;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/pool_offers.cpp
+++ b/src/fleet/pool_offers.cpp
@@ -1,4 +1,4 @@
-// The pools that the catalogue offers.
+// Pools and prices from the catalogue.
 #include "fleet/pool_offers.hpp"
 
 namespace reachhoist::fleet {
@@ -8,14 +8,14 @@
 }
 
 std::vector<PoolOffer> offeredPools(const std::vector<wire::MachineType>& catalog) {
-  std::vector<PoolOffer> out;
+  std::vector<PoolOffer> offers;
   for (const wire::MachineType& machineType : catalog) {
     for (const std::string& zone : machineType.zones) {
-      out.push_back({cloud::PoolKey{machineType.name, zone, false}, &machineType});
-      out.push_back({cloud::PoolKey{machineType.name, zone, true}, &machineType});
+      offers.push_back({cloud::PoolKey{machineType.name, zone, false}, &machineType});
+      offers.push_back({cloud::PoolKey{machineType.name, zone, true}, &machineType});
     }
   }
-  return out;
+  return offers;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/pool_offers.hpp
+++ b/src/fleet/pool_offers.hpp
@@ -7,13 +7,13 @@
 
 namespace reachhoist::fleet {
 
-// A pool that the catalogue offers, with the machine type of its instances (part of the catalogue).
+// A pool that the catalogue offers, with the machine type of its instances. The catalogue owns the type.
 struct PoolOffer {
   cloud::PoolKey key;
   const wire::MachineType* machineType = nullptr;
 };
 
-// Price of one instance, per hour: the market price for spot instances, the on-demand rate otherwise.
+// The price of one instance per hour: the market price for spot instances, the on-demand price otherwise.
 double hourlyPrice(const wire::MachineType& machineType, bool spot);
 
 // Every pool that the catalogue offers: one on-demand and one spot pool per machine type and zone.
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -1,4 +1,4 @@
-// The pool views that a sizing round reads.
+// Builds the pool views for a sizing round.
 #include "fleet/pools.hpp"
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 
 namespace {
 
-// vCPUs of a pool's machines that are up.
+// The vCPUs of a pool's machines that are up.
 struct CpuUsage {
-  double used = 0;
-  double total = 0;
+  double usedCpus = 0;
+  double totalCpus = 0;
 };
 
 std::map<PoolKey, PoolView> emptyViews(const FleetSnapshot& snapshot) {
@@ -32,7 +32,7 @@
 // Adds the machines of the fleet to the views: sizes, idle and releasable machines, overdue boots, CPU usage.
 std::map<PoolKey, CpuUsage> countMachines(const FleetSnapshot& snapshot, std::map<PoolKey, PoolView>& views) {
   std::map<PoolKey, CpuUsage> cpus;
-  std::map<PoolKey, Headroom> headroom;  // each pool's step is judged by itself
+  std::map<PoolKey, Headroom> headroomByPool;  // one each, as the step of a pool ignores those of others
   const BootCohorts cohorts(snapshot.machines);
   for (const Machine* machine : snapshot.machines) {
     if (!countsTowardPool(*machine)) continue;
@@ -44,20 +44,20 @@
     if (machine->phase != machines::MachinePhase::up) continue;
     if (machine->empty()) {
       ++view.idleMachines;
-      if (Headroom& left = headroom.try_emplace(found->first, snapshot).first->second;
-          left.allowsRelease(*machine)) {
+      if (Headroom& headroom = headroomByPool.try_emplace(found->first, snapshot).first->second;
+          headroom.allowsRelease(*machine)) {
         ++view.releasableMachines;
-        left.release(*machine);
+        headroom.release(*machine);
       }
     }
     CpuUsage& usage = cpus[found->first];
-    usage.used += machine->capacity.vcpus - machine->freeCapacity().vcpus;
-    usage.total += machine->capacity.vcpus;
+    usage.usedCpus += machine->capacity.vcpus - machine->freeCapacity().vcpus;
+    usage.totalCpus += machine->capacity.vcpus;
   }
   return cpus;
 }
 
-// Adds the queued work that pending instances don't cover to each pool that could take it.
+// Adds the queued work that pending instances do not cover to the view, if the pool can take it.
 void addQueue(const FleetSnapshot& snapshot, const std::vector<QueuedWork>& queue, PoolView& view) {
   for (const auto& [demand, tasksByZone] : queue) {
     if (!placement::isEligible(demand.job->spec, view.key.machineType, view.key.zone, view.key.spot))
@@ -72,12 +72,12 @@
 std::vector<PoolView> viewPools(const FleetSnapshot& snapshot) {
   std::map<PoolKey, PoolView> views = emptyViews(snapshot);
   const std::map<PoolKey, CpuUsage> cpus = countMachines(snapshot, views);
-  // Work that a pending instance will take is no reason to request another one.
+  // Work that fits on a pending instance is no reason to request another one.
   auto pending = pendingInstances(snapshot);
   const auto queue = uncoveredWork(snapshot, pending);
   for (auto& [key, view] : views) {
-    if (const auto found = cpus.find(key); found != cpus.end() && found->second.total > 0)
-      view.busyShare = found->second.used / found->second.total;
+    if (const auto found = cpus.find(key); found != cpus.end() && found->second.totalCpus > 0)
+      view.busyShare = found->second.usedCpus / found->second.totalCpus;
     addQueue(snapshot, queue, view);
   }
   std::vector<PoolView> out;
--- a/src/fleet/pools.hpp
+++ b/src/fleet/pools.hpp
@@ -1,4 +1,4 @@
-// What a sizing round sees of each pool.
+// The input of a sizing round for each pool.
 #pragma once
 
 #include <vector>
@@ -7,21 +7,21 @@
 
 namespace reachhoist::fleet {
 
-// One pool (machine type, zone, spot or on-demand) as a sizing round sees it.
+// The state of one pool (machine type, zone, spot or on-demand) at a sizing round.
 struct PoolView {
   PoolKey key;
   int machines = 0;            // booting or up
   int idleMachines = 0;        // up and empty
-  int releasableMachines = 0;  // of the idle ones, those whose release keeps the headroom
-  double busyShare = 0;        // share of the vCPUs of machines that are up that tasks use, 0..1
-  double queueWaitS = 0;       // longest wait of queued work that this pool could take, in seconds
+  int releasableMachines = 0;  // idle machines whose release leaves the headroom
+  double busyShare = 0;        // used share of the vCPUs of the machines that are up, 0..1
+  double queueWaitS = 0;       // longest wait of queued work that this pool can take
   int queuedTasks = 0;
-  double pricePerHour = 0;      // price of one instance per hour
-  bool requestRefused = false;  // its last instance request was refused
-  int overdueBoots = 0;         // booting, and past their expected boot time
+  double pricePerHour = 0;      // of one instance
+  bool requestRefused = false;  // the cloud has recently refused an instance request
+  int overdueBoots = 0;         // stragglers: booting machines past their expected boot time
 };
 
-// Every pool of the catalogue, with its size, load and the queued work that pending instances don't cover.
+// The views of all pools of the catalogue. The queued work leaves out what pending instances cover.
 std::vector<PoolView> viewPools(const FleetSnapshot& snapshot);
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -1,4 +1,4 @@
-// Scale-out for the reserve: on-demand capacity for the work that can't wait for a boot.
+// Scale-out for the reserve: on-demand capacity for work that cannot wait for a boot.
 #include <algorithm>
 #include <limits>
 
@@ -10,54 +10,54 @@
 
 namespace {
 
-// Weight of a zone's free capacity in the price of a vCPU: only breaks ties.
+// Weight of a zone's free capacity in the price of a vCPU. It is so small that it only breaks ties.
 constexpr double kSpreadWeight = 0.001;
 
-// Work that runs on on-demand machines only and for which other work is preempted rather than made to wait.
+// Whether the work runs on on-demand machines only and preempts other work rather than wait.
 bool needsReserve(const wire::JobSpec& spec) {
   return spec.priority >= wire::Priority::high || spec.kind == wire::JobKind::gang;
 }
 
-// Whether the attempt holds capacity that the reserve is for. Other work there can be preempted.
+// Whether the attempt belongs to work that the reserve is for. Other attempts can be preempted.
 bool holdsReserve(const machines::Attempt& attempt) {
   return attempt.priority >= wire::Priority::high || attempt.isGangMember;
 }
 
-// The on-demand capacity, in vCPUs, of the work that the reserve is for.
+// The on-demand vCPUs for the work that the reserve is for.
 struct OnDemandCapacity {
-  double used = 0;  // vCPUs that such work holds
-  double free = 0;  // vCPUs that such work could take at once or soon
-  std::map<std::string, double> freeByZone;
+  double usedCpus = 0;  // held by such work
+  double freeCpus = 0;  // available to such work now or soon
+  std::map<std::string, double> freeCpusByZone;
 };
 
-// Adds an on-demand machine that accepts work and isn't partitioned away.
+// Adds an on-demand machine that accepts work and is not partitioned away.
 void addMachine(const Machine& machine, OnDemandCapacity& capacity) {
-  double held = 0;
+  double heldCpus = 0;
   for (const machines::Attempt& attempt : machine.attempts)
-    if (attempt.holdsCapacity() && holdsReserve(attempt)) held += attempt.resources.vcpus;
-  const double free = std::max(0.0, machine.capacity.vcpus - held);
-  capacity.used += held;
-  capacity.free += free;
-  capacity.freeByZone[machine.zone] += free;
+    if (attempt.holdsCapacity() && holdsReserve(attempt)) heldCpus += attempt.resources.vcpus;
+  const double freeCpus = std::max(0.0, machine.capacity.vcpus - heldCpus);
+  capacity.usedCpus += heldCpus;
+  capacity.freeCpus += freeCpus;
+  capacity.freeCpusByZone[machine.zone] += freeCpus;
 }
 
 OnDemandCapacity onDemandCapacity(const FleetSnapshot& snapshot) {
-  OnDemandCapacity out;
+  OnDemandCapacity capacity;
   for (const Machine* machine : snapshot.machines)
     if (acceptsWork(*machine) && !machine->spot && !isPartitioned(snapshot, *machine))
-      addMachine(*machine, out);
+      addMachine(*machine, capacity);
   for (const PendingInstance& instance : pendingInstances(snapshot)) {
     if (instance.pool.spot) continue;
-    out.free += instance.free.vcpus;
-    out.freeByZone[instance.pool.zone] += instance.free.vcpus;
+    capacity.freeCpus += instance.free.vcpus;
+    capacity.freeCpusByZone[instance.pool.zone] += instance.free.vcpus;
   }
   for (const placement::UnplacedDemand& demand : snapshot.unplaced)
     if (needsReserve(demand.job->spec) && !inScaleOutBackoff(snapshot, demand))
-      out.free -= demand.job->spec.taskResources.vcpus * demand.tasks;
-  return out;
+      capacity.freeCpus -= demand.job->spec.taskResources.vcpus * demand.tasks;
+  return capacity;
 }
 
-// The on-demand pool with the cheapest vCPU; null where none may be asked.
+// The on-demand pool with the cheapest vCPU, or null if none can be used.
 const PoolOffer* cheapestPool(const FleetSnapshot& snapshot, const std::vector<PoolOffer>& pools,
                               OnDemandCapacity& capacity) {
   const PoolOffer* best = nullptr;
@@ -67,10 +67,10 @@
     if (key.spot || snapshot.refusedPools.contains(key) || snapshot.partitionedZones.contains(key.zone) ||
         machineType->capacity.vcpus <= 0)
       continue;
-    // Price of a vCPU; the zone with the least free capacity breaks ties.
+    // The price of a vCPU. The zone with the least free capacity breaks ties.
     const double cost = machineType->onDemandPricePerHour / machineType->capacity.vcpus *
                         snapshot.bootTimes.costFactor(key.machineType, key.zone, snapshot.now) *
-                        (1 + kSpreadWeight * capacity.freeByZone[key.zone] / machineType->capacity.vcpus);
+                        (1 + kSpreadWeight * capacity.freeCpusByZone[key.zone] / machineType->capacity.vcpus);
     if (cost >= bestCost) continue;
     bestCost = cost;
     best = &pool;
@@ -82,20 +82,21 @@
 
 std::vector<ScaleOutRequest> scaleOutForReserve(const FleetSnapshot& snapshot) {
   OnDemandCapacity capacity = onDemandCapacity(snapshot);
-  const double wanted = capacity.used * snapshot.settings.operators.reserveShare;
+  const double requiredCpus = capacity.usedCpus * snapshot.settings.operators.reserveShare;
   const std::vector<PoolOffer> pools = offeredPools(snapshot.catalog);
   std::map<PoolKey, int> counts;
-  while (wanted > capacity.free) {
+  while (requiredCpus > capacity.freeCpus) {
     const PoolOffer* best = cheapestPool(snapshot, pools, capacity);
-    // Less than a whole machine's worth is not worth one: small deployments would pay a machine for a task.
-    if (best == nullptr || wanted - capacity.free < best->machineType->capacity.vcpus) break;
+    // A gap smaller than a machine is left open. Otherwise small deployments would pay a machine for one
+    // task.
+    if (best == nullptr || requiredCpus - capacity.freeCpus < best->machineType->capacity.vcpus) break;
     ++counts[best->key];
-    capacity.free += best->machineType->capacity.vcpus;
-    capacity.freeByZone[best->key.zone] += best->machineType->capacity.vcpus;
+    capacity.freeCpus += best->machineType->capacity.vcpus;
+    capacity.freeCpusByZone[best->key.zone] += best->machineType->capacity.vcpus;
   }
-  std::vector<ScaleOutRequest> out;
-  for (const auto& [key, count] : counts) out.push_back(ScaleOutRequest{key, count, {}});
-  return out;
+  std::vector<ScaleOutRequest> requests;
+  for (const auto& [key, count] : counts) requests.push_back(ScaleOutRequest{key, count, {}});
+  return requests;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -18,12 +18,12 @@
   return snapshot.now - machine.idleSince >= wire::seconds(snapshot.settings.operators.idleScaleInS);
 }
 
-// The machines of one on-demand pool that consolidation looks at.
+// The state of one on-demand pool for consolidation.
 struct ConsolidationPool {
-  std::vector<Machine*> up;  // accepting work
+  std::vector<Machine*> acceptingWork;
   double freeCpus = 0;
   double productionCpus = 0;
-  std::size_t draining = 0;
+  std::size_t drainingMachines = 0;
 };
 
 std::map<PoolKey, ConsolidationPool> consolidationPools(const FleetSnapshot& snapshot) {
@@ -31,9 +31,9 @@
   for (Machine* machine : snapshot.machines) {
     if (machine->spot) continue;
     ConsolidationPool& pool = pools[poolOf(*machine)];
-    if (machine->phase == MachinePhase::draining) ++pool.draining;
+    if (machine->phase == MachinePhase::draining) ++pool.drainingMachines;
     if (!acceptsWork(*machine)) continue;
-    pool.up.push_back(machine);
+    pool.acceptingWork.push_back(machine);
     pool.freeCpus += std::max(0.0, machine->freeCapacity().vcpus);
     pool.productionCpus += productionCpus(*machine);
   }
@@ -42,16 +42,16 @@
 
 // Whether another machine of the pool has the attempt's image and the free capacity for it.
 bool fitsElsewhere(const machines::Attempt& attempt, const Machine& machine, const ConsolidationPool& pool) {
-  return std::any_of(pool.up.begin(), pool.up.end(), [&](const Machine* other) {
+  return std::any_of(pool.acceptingWork.begin(), pool.acceptingWork.end(), [&](const Machine* other) {
     return other != &machine && other->hasImage(attempt.image) &&
            attempt.resources.fitsIn(other->freeCapacity());
   });
 }
 
-// Whether every task of the machine is a settled service that fits elsewhere, or a job array task that may
-// end.
+// Whether all tasks on the machine run, and its services have run for constants::kConsolidationMinAge and fit
+// elsewhere. Job array tasks can run to their end.
 bool isMovable(const FleetSnapshot& snapshot, const Machine& machine, const ConsolidationPool& pool) {
-  // An empty one is for the idle scale-in.
+  // Empty machines are left to the scale-in of idle machines.
   if (machine.empty() || machine.transactionInFlight ||
       snapshot.now - machine.upSince < constants::kConsolidationMinAge)
     return false;
@@ -65,26 +65,26 @@
   return true;
 }
 
-// Picks the pool's machines to consolidate, least used first, and appends them to `out`.
-void consolidate(const FleetSnapshot& snapshot, ConsolidationPool& pool, std::vector<Machine*>& out) {
-  const std::size_t maxDraining = 1 + pool.up.size() / constants::kConsolidationDivisor;
+// Selects the pool's machines to consolidate, least used first, and appends them to `selected`.
+void consolidate(const FleetSnapshot& snapshot, ConsolidationPool& pool, std::vector<Machine*>& selected) {
+  const std::size_t maxDraining = 1 + pool.acceptingWork.size() / constants::kConsolidationDivisor;
   const double headroomCpus = pool.productionCpus * snapshot.settings.operators.headroomShare;
-  std::sort(pool.up.begin(), pool.up.end(), [](const Machine* a, const Machine* b) {
+  std::sort(pool.acceptingWork.begin(), pool.acceptingWork.end(), [](const Machine* a, const Machine* b) {
     return a->freeCapacity().vcpus > b->freeCapacity().vcpus;
   });
-  for (Machine* machine : pool.up) {
-    if (pool.draining >= maxDraining) break;
-    // Its tasks must fit elsewhere, and beyond the headroom two machines' worth must stay free, so that the
-    // loss of one uses up nothing that the next services need.
-    const double used = machine->capacity.vcpus - machine->freeCapacity().vcpus;
-    if (used > machine->capacity.vcpus * constants::kConsolidationMaxUsedShare) break;
+  for (Machine* machine : pool.acceptingWork) {
+    if (pool.drainingMachines >= maxDraining) break;
+    // The tasks must fit elsewhere. Beyond the headroom, two machines' worth must stay free, so that the loss
+    // of one machine takes nothing that the next services need.
+    const double usedCpus = machine->capacity.vcpus - machine->freeCapacity().vcpus;
+    if (usedCpus > machine->capacity.vcpus * constants::kConsolidationMaxUsedShare) break;
     if (pool.freeCpus - machine->capacity.vcpus <
         headroomCpus + constants::kConsolidationSpareMachines * machine->capacity.vcpus)
       break;
     if (!isMovable(snapshot, *machine, pool)) continue;
     pool.freeCpus -= machine->capacity.vcpus;
-    ++pool.draining;
-    out.push_back(machine);
+    ++pool.drainingMachines;
+    selected.push_back(machine);
   }
 }
 
@@ -92,21 +92,21 @@
 
 std::vector<Machine*> idleScaleIn(const FleetSnapshot& snapshot) {
   Headroom headroom(snapshot);
-  std::vector<Machine*> out;
+  std::vector<Machine*> idleMachines;
   for (Machine* machine : snapshot.machines) {
     if (!isIdleTooLong(snapshot, *machine) || !headroom.allowsRelease(*machine)) continue;
     headroom.release(*machine);
-    out.push_back(machine);
+    idleMachines.push_back(machine);
   }
-  return out;
+  return idleMachines;
 }
 
 std::vector<Machine*> consolidationScaleIn(const FleetSnapshot& snapshot) {
   if (!snapshot.unplaced.empty()) return {};
   std::map<PoolKey, ConsolidationPool> pools = consolidationPools(snapshot);
-  std::vector<Machine*> out;
-  for (auto& [key, pool] : pools) consolidate(snapshot, pool, out);
-  return out;
+  std::vector<Machine*> selected;
+  for (auto& [key, pool] : pools) consolidate(snapshot, pool, selected);
+  return selected;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/scaling.hpp
+++ b/src/fleet/scaling.hpp
@@ -1,5 +1,5 @@
-// The rules that extend the sizing rounds: scale-out for unplaced demand and for the reserve, scale-in of
-// idle machines and consolidation.
+// Autoscaling rules beside the sizing rounds: scale-out for unplaced demand and for the reserve, scale-in of
+// idle machines, and consolidation.
 #pragma once
 
 #include <vector>
@@ -8,30 +8,31 @@
 
 namespace reachhoist::fleet {
 
-// A scale-out: so many instances of a pool, and the gangs that wait for some of them.
+// A request for `count` instances of a pool, with the gangs that wait for some of them.
 struct ScaleOutRequest {
   PoolKey pool;
   int count = 0;
   std::vector<const placement::Job*> gangs;
 };
 
-// Scale-out for unplaced demand: instances for queued work that no machine, up or pending, has capacity for
-// and that can't wait for the sizing rounds; a bin packing of that work decides how many. A gang gets
-// instances for all of its tasks or none, and none while in scale-out backoff. Services in a partitioned zone
+// Scale-out for unplaced demand: instances for queued work that cannot wait for the sizing rounds and that
+// fits on no machine, up or pending. Bin packing of that work determines their number. A gang gets instances
+// for all of its tasks or for none, and for none during its scale-out backoff. Services in a partitioned zone
 // count as queued before their leases expire, since a boot takes about as long as a lease.
 std::vector<ScaleOutRequest> scaleOutForUnplacedDemand(const FleetSnapshot& snapshot);
 
-// Scale-out for the reserve: on-demand instances for the services and gangs that arrive within one boot time,
-// while less than the operators' reserve share of what such work uses is free. Whole instances only.
+// Scale-out for the reserve: on-demand instances for the services and gangs that arrive within one boot time.
+// The reserve is the operators' reserve share of the vCPUs that such work uses. A gap smaller than an
+// instance is left open.
 std::vector<ScaleOutRequest> scaleOutForReserve(const FleetSnapshot& snapshot);
 
-// Scale-in of idle machines: those empty for longer than the operators' limit and not needed for the
-// headroom.
+// Scale-in of idle machines: those that have been empty for the operators' limit and that the headroom does
+// not need.
 std::vector<Machine*> idleScaleIn(const FleetSnapshot& snapshot);
 
-// Consolidation: with no queued work, the least used on-demand machines whose services fit (and find their
-// image) on others of the same pool. Their services move and job arrays end where they are; a few machines at
-// a time, never below the headroom.
+// Consolidation: the least used on-demand machines whose services fit on others of the same pool that have
+// their images. There are none while work is queued. The services move, and job array tasks run to their end.
+// Only a few machines are consolidated at a time, and the headroom is kept.
 std::vector<Machine*> consolidationScaleIn(const FleetSnapshot& snapshot);
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -1,4 +1,4 @@
-// Sizing rounds: contexts, the step choice, its validation against limits and cooldowns, and its scoring.
+// Sizing rounds: contexts, the choice of steps, their validation against limits and cooldowns, and scoring.
 #include "fleet/sizing.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A pool less busy than this, without a queue, is a unit too large.
-constexpr double kUnderusedShare = 0.5;
+// A pool without a queue whose busy share is smaller has a unit too many.
+constexpr double kUnderusedBusyShare = 0.5;
 
 double queueWaitTargetS() { return wire::toSeconds(constants::kQueueWaitTarget); }
 
@@ -38,7 +38,7 @@
 int Sizing::unitsForQueue(const PoolView& pool) const {
   if (pool.queueWaitS > 2 * queueWaitTargetS()) return 2;
   if (pool.queueWaitS > queueWaitTargetS()) return 1;
-  return pool.queueWaitS == 0 && pool.busyShare < kUnderusedShare ? -1 : 0;
+  return pool.queueWaitS == 0 && pool.busyShare < kUnderusedBusyShare ? -1 : 0;
 }
 
 PoolContext Sizing::contextOf(const PoolView& pool) const {
@@ -51,7 +51,7 @@
 
 void Sizing::scorePreviousStep(const PoolView& pool, PoolState& state) {
   if (!state.unscored) return;
-  // While instances are overdue, the step has not taken effect: there is nothing to score.
+  // While boots are overdue, the step has not taken full effect and cannot be scored.
   if (state.unscored->before.units > 0 && pool.overdueBoots > 0) return state.unscored.reset();
   StepOutcome outcome = state.unscored->before;
   outcome.waitAfterS = pool.queueWaitS;
@@ -82,13 +82,13 @@
   before.maxWaitS = before.waitBaselineS;
   before.targetS = queueWaitTargetS();
   before.costBefore = pool.machines * pool.pricePerHour;
-  // The cost of a step is compared with the cost of its pool: compared with that of a few machines, any step
-  // of a large pool would look too expensive.
-  const double rate = std::max(pool.pricePerHour, 1e-6);
-  before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * rate;
-  const double grown =
+  // The cost of a step is scaled by the cost of its pool. Scaled by the cost of a few machines, any step of a
+  // large pool would seem too expensive.
+  const double pricePerHour = std::max(pool.pricePerHour, 1e-6);
+  before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * pricePerHour;
+  const double maxMachines =
       pool.machines * (1.0 + 1.0 * constants::kMaxStepUnits / constants::kDefaultStepDivisor);
-  before.maxCost = std::max(constants::kSmallPoolMachines, grown) * rate;
+  before.maxCost = std::max(constants::kSmallPoolMachines, maxMachines) * pricePerHour;
   before.units = units;
   return before;
 }
@@ -99,7 +99,7 @@
   for (const PoolView& pool : pools) {
     PoolState& state = poolStates_[pool.key];
     scorePreviousStep(pool, state);
-    // An empty pool has no unit: the scale-out for unplaced demand starts it.
+    // An empty pool has no unit. The scale-out for unplaced demand requests its first instances.
     if (pool.machines == 0) continue;
     const PoolContext context = contextOf(pool);
     Decision decision = chooseUnits(pool, context);
--- a/src/fleet/sizing.hpp
+++ b/src/fleet/sizing.hpp
@@ -1,5 +1,6 @@
-// The sizing rounds of fleet autoscaling: per pool, a clamped step of a few units, chosen by a probe, by the
-// episodes retrieved for the pool's context, or by the queue, with cooldowns between steps (after SAIR).
+// The sizing rounds of fleet autoscaling (after SAIR). A round chooses a step of a few units per pool by a
+// random probe, by the episodes retrieved for the pool's context, or by the queue, and observes cooldowns
+// between steps.
 #pragma once
 
 #include <map>
@@ -14,18 +15,18 @@
 
 namespace reachhoist::fleet {
 
-// The step that a round chose for a pool.
+// The step that a round has chosen for a pool.
 struct Step {
   PoolKey pool;
   int units = 0;     // -1, 0, 1 or 2
-  int machines = 0;  // units times the unit of this pool; negative for a scale-in
-  std::string why;   // "probe", "queue" or the support and value of the episodes
+  int machines = 0;  // units times the machines per unit; negative for a scale-in
+  std::string why;   // "probe", "queue", or the number and the value of the supporting episodes
 };
 
-// The size feature of a context: rises by the machine in small pools and by the doubling in large ones, so
-// that it tells hundreds from dozens.
+// The size feature of a context. It is linear in small pools and logarithmic in large ones, so that it
+// distinguishes hundreds of machines from dozens.
 double sizeFeature(int machines);
-// A unit is a `divisor`th of the pool (an eighth by default), at least one machine.
+// The machines of one unit: the pool's machines divided by `divisor` (8 by default), at least one.
 int machinesPerUnit(int machines, int divisor);
 
 // The sizing state of one leader: episode buffer, Pareto frontier, probe chance and cooldowns per pool.
@@ -35,23 +36,23 @@
     probeChance_ = settings.operators.probeChance;
   }
 
-  // Whether the next round is due.
   bool isRoundDue(Time now) const { return now >= nextRoundAt_; }
-  // Scores the steps of the last round and chooses the next ones; pools without a step are left out.
+  // Scores the steps of the last round and returns the next ones. Pools without a step are left out.
   std::vector<Step> round(Time now, const std::vector<PoolView>& pools);
-  // An instance request of the last round was refused: it counts as no step, and its episode is dropped.
+  // Takes back the pool's step of the last round, as its instance request was refused: it starts no cooldown
+  // and is not scored.
   void onScaleOutRefused(const PoolKey& pool);
 
   const EpisodeBuffer& buffer() const { return buffer_; }
   const ParetoFrontier& frontier() const { return frontier_; }
   double probeChance() const { return probeChance_; }
-  // The copy for a new leader, with as many episodes as fit into `valueSizeLimit` bytes of JSON.
+  // The state for a new leader, with as many episodes as fit into `valueSizeLimit` bytes of JSON.
   Json encode(std::size_t valueSizeLimit) const;
-  // Takes over such a copy. False if it is malformed; nothing is changed then.
+  // Restores such a state. Returns false and changes nothing if it is malformed.
   bool decode(const Json& value);
 
  private:
-  // A step that waits for its settling window, one round, to be scored.
+  // A step of the last round, which the next round scores.
   struct UnscoredStep {
     PoolContext context{};
     StepOutcome before;
@@ -62,7 +63,7 @@
     Time previousScaleOutAt{};  // restored if the last scale-out is refused
     std::optional<UnscoredStep> unscored;
   };
-  // The units of a step before limits and cooldowns, and why they were chosen.
+  // The units of a step before limits and cooldowns apply, and the reason for the choice.
   struct Decision {
     int units = 0;
     std::string why;
@@ -70,13 +71,13 @@
   PoolContext contextOf(const PoolView& pool) const;
   // Chooses units by a probe, by the retrieved episodes or by the queue.
   Decision chooseUnits(const PoolView& pool, const PoolContext& context);
-  // The nearest units that the limits and cooldowns allow.
+  // The units, clamped to the limits of a step, or 0 if a refusal, a cooldown or the headroom forbids it.
   int allowedUnits(const PoolView& pool, const PoolState& state, int units, Time now) const;
-  // Units by the pool's queue wait alone.
+  // The units that follow from the pool's queue wait and busy share alone.
   int unitsForQueue(const PoolView& pool) const;
-  // The outcome of a step chosen now, as far as it is known before the step.
+  // The outcome of a step chosen now, without the wait and the cost after it.
   StepOutcome outcomeBefore(const PoolView& pool, int units) const;
-  // Scores the pool's step of the last round, if there is one, and stores the episode.
+  // Scores the pool's step of the last round, if there is one, and stores its episode.
   void scorePreviousStep(const PoolView& pool, PoolState& state);
 
   const config::Settings& settings_;
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -1,4 +1,4 @@
-// Questions about the machines of a snapshot.
+// Predicates on the machines of a snapshot.
 #include "fleet/snapshot.hpp"
 
 namespace reachhoist::fleet {
--- a/src/fleet/snapshot.hpp
+++ b/src/fleet/snapshot.hpp
@@ -1,4 +1,4 @@
-// The leader's view of the fleet for one scaling decision.
+// A snapshot of the fleet, on which scaling decisions are based.
 #pragma once
 
 #include <cstddef>
@@ -18,33 +18,34 @@
 using machines::Machine;
 using wire::Time;
 
-// The fleet, the demand and the state of the pools at one moment. Borrows the settings, the catalogue, the
-// machines and the jobs.
+// The fleet, the demand and the state of the pools at one time. It refers to settings, catalogue, machines
+// and jobs that it does not own.
 struct FleetSnapshot {
   const config::Settings& settings;
   const std::vector<wire::MachineType>& catalog;
   Time now{};
-  std::int64_t wallClockMs = 0;  // wall clock, in milliseconds since the epoch
+  std::int64_t wallClockMs = 0;  // since the epoch
   std::vector<Machine*> machines;
-  std::vector<placement::UnplacedDemand> unplaced;  // queued work that the last placement round left
-  std::set<PoolKey> refusedPools;                   // their instance requests were refused lately
-  std::map<PoolKey, std::size_t> pendingRequests;   // instances requested, without an answer yet
-  std::set<std::string> partitionedZones;           // zones that seem partitioned away
-  // Services on machines of those zones, whose leases are running out.
+  std::vector<placement::UnplacedDemand>
+      unplaced;                                    // queued work that the last placement round has not placed
+  std::set<PoolKey> refusedPools;                  // pools that have recently refused an instance request
+  std::map<PoolKey, std::size_t> pendingRequests;  // requested instances, without an answer yet
+  std::set<std::string> partitionedZones;          // zones that are probably partitioned away
+  // Services on machines of those zones, whose worker leases are about to expire.
   std::vector<placement::UnplacedDemand> servicesAtRisk;
   BootHistory bootTimes{};
 };
 
-// The pool that the machine belongs to.
 PoolKey poolOf(const Machine& machine);
 
 // Whether the machine counts towards the size of its pool: booting or up.
 bool countsTowardPool(const Machine& machine);
 
-// Whether the machine takes new work: up, reconciled both ways, and without a spot interruption notice.
+// Whether the machine takes new work: it is up, has acknowledged its fencing token, and has no spot
+// interruption notice.
 bool acceptsWork(const Machine& machine);
 
-// Whether the machine is unreachable in a zone that seems partitioned away.
+// Whether the machine is unreachable in a zone that is probably partitioned away.
 bool isPartitioned(const FleetSnapshot& snapshot, const Machine& machine);
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/unplaced_demand.cpp
+++ b/src/fleet/unplaced_demand.cpp
@@ -1,5 +1,4 @@
-// Scale-out for unplaced demand: the instances to request for work that no machine, up or pending, has
-// capacity for.
+// Scale-out for unplaced demand: the instances to request for work that fits on no machine, up or pending.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -12,29 +11,29 @@
 
 namespace {
 
-// Work without a deadline waits this many seconds for capacity to free up.
+// Work without a deadline waits this long for capacity to free up before it gets instances.
 constexpr double kWaitForFreedCapacityS = 10;
-// An instance may take this factor of its catalogue boot time until it helps.
+// The time until an instance takes work, as a factor of its catalogue boot time.
 constexpr double kBootTimeReserveFactor = 1.5;
-// Weight of a pool's size in the cost of a task: only breaks ties.
+// Weight of a pool's size in the cost of a task. It is so small that it only breaks ties.
 constexpr double kSpreadWeight = 0.001;
 
-// How many tasks of the size `each` fit into `capacity`.
-int tasksThatFit(const wire::Resources& each, const wire::Resources& capacity) {
+// The number of tasks with these resources that fit into `capacity`.
+int tasksThatFit(const wire::Resources& taskResources, const wire::Resources& capacity) {
   double fit = 1e6;
-  const auto limit = [&](double need, double have) {
-    if (need > 0) fit = std::min(fit, std::floor(have / need + 1e-6));
+  const auto limit = [&](double needed, double available) {
+    if (needed > 0) fit = std::min(fit, std::floor(available / needed + 1e-6));
   };
-  limit(each.vcpus, capacity.vcpus);
-  limit(each.accelerators, capacity.accelerators);
-  limit(each.memoryGb, capacity.memoryGb);
+  limit(taskResources.vcpus, capacity.vcpus);
+  limit(taskResources.accelerators, capacity.accelerators);
+  limit(taskResources.memoryGb, capacity.memoryGb);
   return static_cast<int>(fit);
 }
 
-// Whether the job should get instances now, or can wait for capacity that frees up.
+// Whether the job gets instances now, rather than wait for capacity that frees up.
 bool isUrgent(const FleetSnapshot& snapshot, const jobs::Job& job, double nominalBootTimeS) {
   if (job.spec.priority >= wire::Priority::high) return true;
-  // Capacity that frees up by itself comes in pieces.
+  // Capacity frees up in pieces, while a gang needs all of it at once.
   if (job.isGang()) return true;
   if (job.spec.deadlineS) {
     const double slackS = static_cast<double>(job.deadlineMs() - snapshot.wallClockMs) / 1000.0 -
@@ -44,24 +43,24 @@
   return wire::toSeconds(snapshot.now - job.waitingSince) >= kWaitForFreedCapacityS;
 }
 
-// Services that end with their leases, as far as neither free capacity nor pending instances will take them.
+// Services that end with their worker leases and fit neither on free capacity nor on pending instances.
 std::vector<QueuedWork> uncoveredServices(const FleetSnapshot& snapshot,
                                           std::vector<PendingInstance> capacity) {
-  std::vector<QueuedWork> out;
-  if (snapshot.servicesAtRisk.empty()) return out;
+  std::vector<QueuedWork> uncovered;
+  if (snapshot.servicesAtRisk.empty()) return uncovered;
   for (const Machine* machine : snapshot.machines)
     if (acceptsWork(*machine) && !isPartitioned(snapshot, *machine))
       capacity.push_back(PendingInstance{poolOf(*machine), machine->freeCapacity()});
   for (QueuedWork& queued : queuedWork(snapshot, snapshot.servicesAtRisk, false))
-    if (!packIntoAny(queued, capacity)) out.push_back(std::move(queued));
-  return out;
+    if (!packIntoAny(queued, capacity)) uncovered.push_back(std::move(queued));
+  return uncovered;
 }
 
-// What the packing has decided so far; a gang that doesn't fit whole rolls it back.
+// The result of the packing so far. It is rolled back for a gang of which not all tasks fit.
 struct PackState {
   std::vector<PendingInstance> pending;  // the pending instances, then those requested here
-  std::map<PoolKey, int> counts;         // instances requested here, by pool
-  std::map<PoolKey, int> poolSizes;      // instances booting or up, and those requested here
+  std::map<PoolKey, int> counts;         // instances requested here
+  std::map<PoolKey, int> poolSizes;      // instances that are booting or up, and those requested here
 };
 
 // Bin-packs the work that no machine has capacity for into instances to request.
@@ -72,7 +71,7 @@
     state_.pending = pendingInstances(snapshot);
     for (const Machine* machine : snapshot.machines)
       if (countsTowardPool(*machine)) ++state_.poolSizes[poolOf(*machine)];
-    // While a zone is partitioned away, instances there would be of no use, unless there is no other.
+    // Instances in a zone that is partitioned away are of no use. Such zones count only if there is no other.
     hasReachableZone_ = std::any_of(pools_.begin(), pools_.end(), [&](const PoolOffer& pool) {
       return !snapshot.partitionedZones.contains(pool.key.zone);
     });
@@ -81,7 +80,7 @@
   std::vector<ScaleOutRequest> run() {
     std::vector<QueuedWork> work = uncoveredWork(snapshot_, state_.pending);
     for (QueuedWork& queued : uncoveredServices(snapshot_, state_.pending)) work.push_back(std::move(queued));
-    firstRequested_ = state_.pending.size();  // what is requested here for earlier work takes later work too
+    firstRequested_ = state_.pending.size();  // instances requested for earlier work take later work too
     for (QueuedWork& queued : work) {
       if (queued.demand.job->isGang()) {
         packGang(queued);
@@ -89,10 +88,10 @@
         pack(queued);
       }
     }
-    std::vector<ScaleOutRequest> out;
+    std::vector<ScaleOutRequest> requests;
     for (auto& [key, count] : state_.counts)
-      out.push_back(ScaleOutRequest{key, count, std::move(gangs_[key])});
-    return out;
+      requests.push_back(ScaleOutRequest{key, count, std::move(gangs_[key])});
+    return requests;
   }
 
  private:
@@ -109,7 +108,7 @@
     }
   }
 
-  // A part of a gang is of no use: either all of its tasks find capacity, or nothing is requested for it.
+  // Requests instances for all tasks of the gang or, if some find no capacity, none for the gang.
   void packGang(QueuedWork& queued) {
     const jobs::Job& job = *queued.demand.job;
     const PackState before = state_;
@@ -124,7 +123,7 @@
     }
   }
 
-  // Whether the job may get instances of the pool now.
+  // Whether the job can get instances of the pool now.
   bool canUse(const QueuedWork& queued, const PoolOffer& pool) const {
     const auto& [key, machineType] = pool;
     const wire::JobSpec& spec = queued.demand.job->spec;
@@ -136,8 +135,8 @@
            isUrgent(snapshot_, *queued.demand.job, machineType->nominalBootTimeS);
   }
 
-  // Price of the capacity of one task in the pool; a larger pool in one zone breaks ties the other way, to
-  // spread the risk.
+  // The price of the capacity of one task in the pool. Of equally cheap pools the smallest wins, which
+  // spreads the risk over zones.
   double taskCost(const QueuedWork& queued, const PoolOffer& pool, int fit) const {
     const auto& [key, machineType] = pool;
     const auto size = state_.poolSizes.find(key);
@@ -146,7 +145,7 @@
            (1 + kSpreadWeight * (size == state_.poolSizes.end() ? 0 : size->second));
   }
 
-  // The pool where the job's tasks cost least; null where none may be used.
+  // The pool where the job's tasks cost least, or null if it can use none.
   const PoolOffer* cheapest(const QueuedWork& queued) const {
     const PoolOffer* best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
@@ -166,7 +165,7 @@
   std::vector<PoolOffer> pools_;
   PackState state_;
   std::size_t firstRequested_ = 0;
-  std::map<PoolKey, std::vector<const placement::Job*>> gangs_;  // waiting for the pool's requested instances
+  std::map<PoolKey, std::vector<const placement::Job*>> gangs_;  // waiting for instances requested here
   bool hasReachableZone_ = false;
 };
 
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -1,4 +1,4 @@
-// Jobs: their records, and the bookkeeping of their tasks; see jobs.hpp.
+// Job records, and the tracking of the phases of tasks.
 #include "jobs/jobs.hpp"
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 namespace {
 constexpr char kHex[] = "0123456789abcdef";
 constexpr std::uint32_t kTasksPerHexDigit = 4;
-constexpr int kMaxGangScaleOutDoublings = 6;  // of a gang's scale-out backoff; keeps the shift in range
+// Limits the doublings of a gang's scale-out backoff, so that the shift stays in range.
+constexpr int kMaxGangScaleOutDoublings = 6;
 
 // Names of the enumerators, in their order.
 constexpr std::array<std::string_view, 3> kJobPhaseNames{"accepted", "done", "cancelled"};
@@ -30,7 +31,7 @@
 
 void Gang::recordPartialScaleOut(Time now) {
   ++partialScaleOuts;
-  // No backoff the first time: another pool may have what this one lacked.
+  // There is no backoff the first time, as another pool may have enough instances.
   if (partialScaleOuts == 1) return;
   const auto backoff =
       constants::kRefusedPoolBackoff * (1 << std::min(partialScaleOuts - 2, kMaxGangScaleOutDoublings));
@@ -133,7 +134,7 @@
 }
 
 Json encodeFinal(const Job& job, JobPhase phase) {
-  // The team and the task size are kept: tasks may still be on machines, where they count towards the team's
+  // The record keeps the team and the task size, as tasks that are still on machines count towards the team's
   // quota.
   return Json{{"phase", name(phase)},
               {"atMs", job.acceptedAtMs},
@@ -145,8 +146,8 @@
 }
 
 JobTable::Change JobTable::apply(const std::string& ref, const Json& value, std::uint64_t revision) {
-  const Job* known = find(ref);
-  if (known != nullptr && known->revision >= revision) return Change::none;
+  const Job* existing = find(ref);
+  if (existing != nullptr && existing->revision >= revision) return Change::none;
   const auto phase = wire::textField(value, "phase");
   if (!phase || !wire::validJobRef(ref)) return Change::malformed;
   if (*phase == name(JobPhase::accepted)) return applyOpen(ref, value, revision);
@@ -156,13 +157,13 @@
 }
 
 JobTable::Change JobTable::applyOpen(const std::string& ref, const Json& value, std::uint64_t revision) {
-  const Job* known = find(ref);
+  const Job* existing = find(ref);
   const Json* spec = wire::field(value, "spec");
   auto decoded = spec != nullptr ? wire::decodeJob(*spec) : wire::Result<wire::JobSpec>::failure("no spec");
   if (!decoded) return Change::malformed;
-  // A final phase never changes back, whatever a record says.
-  if (known != nullptr && !known->isOpen()) return Change::malformed;
-  const bool isNew = known == nullptr;
+  // A final job never becomes open again, even if a newer record says so.
+  if (existing != nullptr && !existing->isOpen()) return Change::malformed;
+  const bool isNew = existing == nullptr;
   const Json* acceptedAtMs = wire::field(value, "atMs");
   Job& job = jobs_[ref];
   job.revision = revision;
@@ -175,22 +176,23 @@
 
 JobTable::Change JobTable::applyFinal(const std::string& ref, JobPhase phase, const Json& value,
                                       std::uint64_t revision) {
-  const Job* known = find(ref);
-  const bool wasFinal = known != nullptr && !known->isOpen();
+  const Job* existing = find(ref);
+  const bool wasFinal = existing != nullptr && !existing->isOpen();
   Job& job = jobs_[ref];
   job.revision = revision;
   if (wasFinal) return job.phase == phase ? Change::none : Change::malformed;
   job.phase = phase;
-  wire::JobSpec rest;
-  rest.ref.text = ref;
-  rest.taskCount = static_cast<std::uint32_t>(wire::countField(value, "loads").value_or(job.spec.taskCount));
-  rest.team = wire::textField(value, "crew").value_or(job.spec.team);
-  rest.taskResources.vcpus = wire::amountField(value, "vcpus").value_or(job.spec.taskResources.vcpus);
-  rest.taskResources.accelerators =
+  wire::JobSpec finalSpec;
+  finalSpec.ref.text = ref;
+  finalSpec.taskCount =
+      static_cast<std::uint32_t>(wire::countField(value, "loads").value_or(job.spec.taskCount));
+  finalSpec.team = wire::textField(value, "crew").value_or(job.spec.team);
+  finalSpec.taskResources.vcpus = wire::amountField(value, "vcpus").value_or(job.spec.taskResources.vcpus);
+  finalSpec.taskResources.accelerators =
       wire::amountField(value, "accelerators").value_or(job.spec.taskResources.accelerators);
-  rest.taskResources.memoryGb =
+  finalSpec.taskResources.memoryGb =
       wire::amountField(value, "memoryGb").value_or(job.spec.taskResources.memoryGb);
-  job.spec = std::move(rest);
+  job.spec = std::move(finalSpec);
   open_.erase(ref);
   return Change::ended;
 }
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -1,4 +1,4 @@
-// Jobs as stored in the key-value store and, on the leader, the state of each task of its jobs.
+// Jobs as stored in the key-value store and, on the leader, the state of each of their tasks.
 #pragma once
 
 #include <map>
@@ -22,63 +22,63 @@
 // The phase's name in job records.
 std::string_view name(JobPhase phase);
 
-// The state of a gang (gang scheduling), as the leader sees it.
+// The state of a gang (gang scheduling) on the leader.
 enum class GangState : std::uint8_t {
-  waiting,    // for free capacity, with nothing of an earlier attempt left on a machine
+  waiting,    // waits for free capacity; no machine runs a task of an earlier attempt any more
   reserving,  // its placement records are being written, in one or more transactions; no task starts before
               // the last of them
   gathering,  // started: its tasks pull their images and wait for each other
   running,    // all tasks run
-  stopping,   // all tasks have been told to stop, with a checkpoint if they can
+  stopping,   // all tasks are being stopped, with a checkpoint if they can write one
   clearing,   // the attempt has failed, and its remaining tasks are being stopped
-  done        // one task was reported done, so all are
+  done        // a worker reported one task as done, which completes all of them
 };
 
 // The state's name in events.
 std::string_view name(GangState state);
 
-// Gang scheduling state of a job of kind `gang`.
+// The gang scheduling state of a job of kind `gang`.
 struct Gang {
   GangState state = GangState::waiting;
-  std::uint64_t attemptNumber = 0;  // the same for all tasks of one attempt
+  std::uint64_t attemptNumber = 0;  // shared by all tasks of one attempt
   int consecutiveFailures = 0;
-  int partialScaleOuts = 0;  // instance requests in a row that did not get all the machines the gang needs
-  Time nextScaleOutAt{};     // no instances are requested for the gang before
+  int partialScaleOuts = 0;  // consecutive instance requests that got too few machines for the gang
+  Time nextScaleOutAt{};     // the leader requests no instances for the gang before this time
 
-  // Records that the cloud gave fewer machines than were requested; backs off from the second time on.
+  // Records that the cloud provisioned fewer machines than requested. Backs off from the second time on.
   void recordPartialScaleOut(Time now);
 
-  // The one function that changes the state.
+  // The only function that changes the state.
   void setState(GangState next) { state = next; }
 };
 
-// The phase of one task. placed: an attempt of it is on a machine.
+// The phase of one task. A task is `placed` while an attempt of it is on a machine.
 enum class TaskPhase : std::uint8_t { waiting, placed, completed };
 
-// A job. The members up to `displayedRunning` are known to every controller, the others to the leader only.
+// A job. Every controller maintains the members up to `displayedRunning`, only the leader the others.
 struct Job {
-  wire::JobSpec spec;  // of a final job: only the reference, the task count, the team and the task's size
+  wire::JobSpec spec;  // of a final job only the reference, the task count, the team and the task size
   JobPhase phase = JobPhase::accepted;
   std::uint64_t revision = 0;     // of the stored record
-  std::int64_t acceptedAtMs = 0;  // wall clock, milliseconds since the epoch
+  std::int64_t acceptedAtMs = 0;  // wall clock, in milliseconds since the epoch
 
-  // Progress to display while this controller does not track the job, as the leader reported it.
+  // Progress reported by the leader, displayed while this controller does not track the job.
   std::uint32_t displayedCompleted = 0;
   std::uint32_t displayedRunning = 0;
 
-  // Tracked by the leader.
-  std::vector<TaskPhase> tasks;    // by task index; empty while the job is not tracked
-  std::uint32_t waitingCount = 0;  // tasks in this phase; the same for `placedCount` and `completedCount`
-  std::uint32_t placedCount = 0;
-  std::uint32_t runningCount = 0;  // of the placed tasks, those that run
-  std::uint32_t completedCount = 0;
+  // Tracked by the leader only.
+  std::vector<TaskPhase> tasks;                          // by task index; empty while the job is not tracked
+  std::uint32_t waitingCount = 0;                        // tasks in the phase `waiting`
+  std::uint32_t placedCount = 0;                         // tasks in the phase `placed`
+  std::uint32_t runningCount = 0;                        // placed tasks whose attempt runs
+  std::uint32_t completedCount = 0;                      // tasks in the phase `completed`
   std::uint32_t firstWaitingIndex = 0;                   // no task with a lower index is waiting
   std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> revision of its completion record
   std::set<std::uint32_t> dirtyChunks;                   // chunks with completions that are not durable yet
   FailureAttribution failures;
-  Time backoffUntil{};  // a gang whose attempt failed is not placed again before
-  Time waitingSince{};  // when the first of the waiting tasks began to wait
-  Time lastPlacedAt{};  // last placement of any task, or the start of tracking
+  Time backoffUntil{};  // a gang is not placed again before this time after a failed attempt
+  Time waitingSince{};  // since then the job has had at least one waiting task
+  Time lastPlacedAt{};  // last placement of any task, initially the start of tracking
   Gang gang;
 
   // Whether the job is not final.
@@ -88,19 +88,19 @@
   bool isFinished() const { return spec.kind != wire::JobKind::service && completedCount == spec.taskCount; }
   // The stage shown to users.
   wire::JobStage displayedStage() const;
-  // The one function that changes a task's phase; keeps the counters in step.
+  // The only function that changes the phase of a task. It updates the counters.
   void setTaskPhase(std::uint32_t index, TaskPhase next, Time now);
-  // Starts to track all tasks as waiting, when this controller becomes the leader.
+  // Starts to track all tasks as waiting when this controller becomes the leader.
   void beginTracking(Time now);
   // Frees the state of the tasks and keeps their counts for display.
   void endTracking();
-  // The completion record of a chunk of `kTasksPerDoneChunk` tasks: one bit a task, in hex, lowest index
+  // The completion record of a chunk of `kTasksPerDoneChunk` tasks, in hex: one bit per task, lowest index
   // first.
   std::string encodeDoneChunk(std::uint32_t chunk) const;
   // Marks the tasks of a completion record as completed. False if the record is malformed; tasks before the
   // malformed digit stay marked.
   bool loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now);
-  // Deadline as wall clock, milliseconds since the epoch; the largest value if the job has none.
+  // Deadline on the wall clock, in milliseconds since the epoch. The largest value if the job has none.
   std::int64_t deadlineMs() const;
 };
 
@@ -108,21 +108,21 @@
 std::string jobKey(const std::string& ref);
 // Key of a job's completion record for one chunk of tasks.
 std::string doneKey(const std::string& ref, std::uint32_t chunk);
-// Record of an open job.
+// The record of an open job.
 Json encodeOpen(const Job& job);
-// Record of a job that ends in the given phase.
+// The record of a job that ends in the given phase.
 Json encodeFinal(const Job& job, JobPhase phase);
 
 class JobTable;
-// Whether the key is a completion record of a job that has ended.
+// Whether the key is that of a completion record of a job that has ended.
 bool isProgressKeyOfEndedJob(JobTable& jobs, const std::string& key);
 
 // All jobs in the key-value store, by reference. Not thread-safe.
 class JobTable {
  public:
-  // The effect of a record on the table.
+  // What a record has changed in the table.
   enum class Change { none, accepted, ended, malformed };
-  // Applies a job's record. A revision that is not newer than the known one changes nothing.
+  // Applies a job's record. A record that is not newer than the job's revision changes nothing.
   Change apply(const std::string& ref, const Json& value, std::uint64_t revision);
   // The job, or null. The pointer stays valid while the table exists.
   Job* find(const std::string& ref);
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -1,4 +1,4 @@
-// Machines and their task attempts; see machines.hpp.
+// Machines and their task attempts.
 #include "machines/machines.hpp"
 
 #include <algorithm>
@@ -59,7 +59,7 @@
 
 void Machine::recordImage(const std::string& image, double imageSizeGb) {
   images[image] = imageSizeGb;
-  // Which images a machine evicts when its cache is full is not known: only the newest is certain to be
+  // Workers do not report which images they evict from a full cache, so only the newest is certain to be
   // there.
   double cachedGb = 0;
   for (const auto& [label, gb] : images) cachedGb += gb;
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -16,91 +16,92 @@
 
 // The phase of a task attempt.
 enum class AttemptPhase {
-  planned,        // its placement record is being written
-  recorded,       // the record is durable: the attempt may be started
-  pulling,        // as the worker reports: its image is being pulled
-  running,        // as the worker reports
-  checkpointing,  // as the worker reports: a checkpoint is being written before the stop
-  ended,          // as the worker reports
-  released        // proven gone: it holds no capacity and can be dropped
+  planned,        // the leader writes its placement record
+  recorded,       // the placement record is durable, so the attempt can be started
+  pulling,        // the worker reports that it pulls the image
+  running,        // the worker reports that the task runs
+  checkpointing,  // the worker reports that the task writes a checkpoint before its stop
+  ended,          // the worker reports that the attempt has ended
+  released        // proven to be no longer on the machine: it holds no capacity and can be dropped
 };
 
 // One attempt to run a task on a machine.
 struct Attempt {
   wire::TaskId task;
-  std::uint64_t number = 0;  // unique over all terms; the tasks of a gang share theirs
+  std::uint64_t number = 0;  // unique over all terms, but shared by the tasks of a gang's attempt
   wire::Resources resources;
   std::string team;
   std::string image;
-  double imageSizeGb = 0;  // of the image
+  double imageSizeGb = 0;
   wire::Priority priority = wire::Priority::standard;
   bool isService = false;
   bool isGangMember = false;
-  bool canCheckpoint = false;      // writes checkpoints
-  double checkpointDurationS = 0;  // time to write one
+  bool canCheckpoint = false;
+  double checkpointDurationS = 0;  // time to write a checkpoint
   AttemptPhase phase = AttemptPhase::planned;
-  wire::Cause cause = wire::Cause::none;  // why it ended
-  bool inherited = false;  // from an earlier term: it may have ended and been forgotten by the worker already
+  wire::Cause cause = wire::Cause::none;  // why the attempt ended
+  bool inherited = false;  // placed in an earlier term: the worker can have ended and forgotten it already
   bool stopRequested = false;
-  double gracePeriodS = 0;  // time that the stop command allows for a checkpoint
-  bool stopSent = false;    // a stop command has been sent
+  double gracePeriodS = 0;  // time that the stop command leaves for a checkpoint
+  bool stopSent = false;
   int directCommandsInFlight = 0;
-  std::optional<std::uint64_t> unresolvedStartToken;  // fencing token of a direct start without an answer
-  std::optional<std::uint32_t> batch;     // placement batch that holds its record; none: not recorded by us
+  // Fencing token of a direct start command that the worker has not answered.
+  std::optional<std::uint64_t> unresolvedStartToken;
+  std::optional<std::uint32_t> batch;     // that holds its placement record; none if there is no record
   std::uint64_t startSentInSequence = 0;  // sequence of the heartbeat whose answer first carried the start
-  std::uint64_t incarnation = 0;          // of the worker that runs it; 0: not known yet
+  std::uint64_t incarnation = 0;          // of the worker that runs it; 0 until a heartbeat reports it
   Time phaseSince{};
   Time placedAt{};
   Time runningSince{};
 
-  // Whether it takes up capacity of its machine.
+  // Whether the attempt uses capacity of its machine.
   bool holdsCapacity() const { return phase != AttemptPhase::ended && phase != AttemptPhase::released; }
-  // Whether its process exists on the machine.
+  // Whether the task's process exists on the machine.
   bool isExecuting() const { return phase == AttemptPhase::running || phase == AttemptPhase::checkpointing; }
-  // Grace period for a stop in seconds: long enough for a checkpoint, if the task writes any.
+  // Grace period for a stop in seconds: long enough for a checkpoint, or 0 if the task writes none.
   double stopGraceS() const;
-  // The one function that changes the phase.
+  // The only function that changes the phase.
   void setPhase(AttemptPhase next, Time now);
 };
 
 // The phase of a machine.
 enum class MachinePhase {
-  booting,          // requested from the cloud; no heartbeat yet
+  booting,          // requested from the cloud, without a heartbeat yet
   up,               // takes work
   draining,         // takes no new work; its attempts are stopped or run to their end
-  decommissioning,  // the record of its termination is being written
-  terminating,      // the cloud has been asked to terminate it
-  terminated        // proven gone
+  decommissioning,  // the leader writes the record of its termination
+  terminating,      // the leader has requested its termination from the cloud
+  terminated        // proven to no longer exist
 };
 
-// What is known of the connection to a machine's worker, in both directions.
+// The state of the communication with a machine's worker, in both directions.
 struct WorkerContact {
-  Time lastHeartbeatAt{};      // last heartbeat; answers to probes do not count, as they renew no lease
+  Time lastHeartbeatAt{};      // answers to probes do not count, as they renew no lease
   Time lastDirectContactAt{};  // last heartbeat or answer that came without a relay
-  Time leaseRenewedAt{};       // no answer that renews the worker's lease was given after this
-  // The worker has been seen with the newest fencing token: our answers or commands reach it.
+  Time leaseRenewedAt{};       // upper bound of the last renewal of the worker's lease
+  // The worker has reported the newest fencing token, which proves that answers or commands reach it.
   bool tokenAcknowledged = false;
-  Time unacknowledgedSince{};      // first answer with a token that the worker has not been seen with
-  bool probeInFlight = false;      // asked for its state because its heartbeats are overdue
-  bool unreachable = false;        // and did not answer; reset by the next heartbeat
-  bool takeoverProbeSent = false;  // asked for its state because it has sent no heartbeat in this term
+  Time unacknowledgedSince{};      // first answer with a token that the worker has not reported yet
+  bool probeInFlight = false;      // a probe is under way because its heartbeats are overdue
+  bool unreachable = false;        // it has not answered such a probe; the next heartbeat resets this
+  bool takeoverProbeSent = false;  // it was probed because it has sent no heartbeat in this term
 };
 
 // Commands that are sent to the worker directly rather than in the answer to a heartbeat.
 struct DirectCommands {
   bool inFlight = false;
-  bool due = false;   // there are commands that no heartbeat is likely to carry soon
-  Time nextSendAt{};  // none is sent before
+  bool due = false;   // there are commands that a heartbeat's answer is unlikely to carry soon
+  Time nextSendAt{};  // no command is sent before this time
 };
 
-// Failures of tasks on a machine, while it is open whether the machine is at fault.
+// Failures of tasks on a machine, until it is decided whether the machine or the jobs are at fault.
 struct MachineFaults {
   int consecutiveErrors = 0;
-  std::set<std::string> failedJobs;  // references
-  Time suspectUntil{};               // takes no new work before
-  bool quarantined = false;          // the machine is at fault: it takes no work any more
+  std::set<std::string> failedJobs;  // references of the jobs whose tasks failed
+  Time suspectUntil{};               // the machine gets no new work before this time
+  bool quarantined = false;          // the machine is at fault and gets no work any more
 
-  // The machine is not suspected any more. A quarantine stays.
+  // Clears the counted failures, so that the machine is no longer suspect. A quarantine stays.
   void clearSuspicion();
 };
 
@@ -112,37 +113,37 @@
   std::string zone;
   bool spot = false;
   wire::Resources capacity;
-  double imageCacheGb = 0;  // size of the image cache; 0: not known
+  double imageCacheGb = 0;  // size of the image cache; 0 if unknown
   double imagePullGbPerS = 1;
   MachinePhase phase = MachinePhase::booting;
-  std::uint64_t incarnation = 0;      // of the worker; 0: not known yet
-  std::uint64_t sequence = 0;         // of the last heartbeat; 0: none in this term
-  std::uint64_t workerToken = 0;      // highest fencing token that the worker is known to have seen
+  std::uint64_t incarnation = 0;      // of the worker; 0 until a heartbeat reports it
+  std::uint64_t sequence = 0;         // of the last heartbeat; 0 if there is none in this term
+  std::uint64_t workerToken = 0;      // highest fencing token that the worker has reported
   std::uint64_t fencingSequence = 0;  // counts the machine's fencing tokens in this term
   bool transactionInFlight = false;   // a transaction that concerns the machine is under way
   WorkerContact contact;
   DirectCommands directCommands;
   MachineFaults faults;
   const char* decommissionReason = "";
-  Time provisionedAt{};  // when the cloud was asked for it
+  Time provisionedAt{};  // time of its instance request
   Time upSince{};
-  Time listedUpAt{};  // the first list of instances that named it as running
+  Time listedUpAt{};  // time of the first instance list that named it as running
   Time idleSince{};
-  std::optional<Time> spotNoticeAt;  // when the cloud will take it back
+  std::optional<Time> spotNoticeAt;  // time at which the cloud reclaims the spot instance
   std::vector<Attempt> attempts;
-  std::map<std::string, double> images;  // in the image cache: image -> GB
+  std::map<std::string, double> images;  // images in the cache, with their sizes in GB
 
-  // The one function that changes the phase.
+  // The only function that changes the phase.
   void setPhase(MachinePhase next, Time now);
   wire::Resources freeCapacity() const;
   // Whether no attempt holds capacity.
   bool empty() const;
-  // The attempt, or null.
+  // The attempt, or null if the machine has none like it.
   Attempt* find(const wire::TaskId& task, std::uint64_t number);
-  // Whether an attempt on the machine pulls or uses the image.
+  // Whether an attempt that holds capacity on the machine pulls or uses the image.
   bool isPulling(const std::string& image) const;
   bool hasImage(const std::string& image) const { return images.contains(image); }
-  // Seconds that a pull of so many GB takes.
+  // The time that a pull of this size takes, in seconds.
   double pullSeconds(double gigabytes) const;
   // Records that the image is in the cache.
   void recordImage(const std::string& image, double imageSizeGb);
@@ -151,9 +152,9 @@
 // The machines by host name. Not thread-safe.
 class MachineTable {
  public:
-  // The machine, or null. Pointers stay valid until the machine is removed.
+  // The machine, or null if the table has none. The pointer stays valid until the machine is removed.
   Machine* find(const std::string& host);
-  // The machine, added if it is not in the table yet.
+  // Returns the machine, and adds it if it is not in the table yet.
   Machine& add(const std::string& host);
   void remove(const std::string& host) { machines_.erase(host); }
   void clear() { machines_.clear(); }
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -1,4 +1,4 @@
-// Placement batches: decoding, sizing and encoding; see placement_batches.hpp.
+// Decoding, size estimates and encoding of placement batches.
 #include "machines/placement_batches.hpp"
 
 #include <algorithm>
@@ -6,15 +6,17 @@
 namespace reachhoist::machines {
 
 namespace {
-constexpr std::size_t kHostOverheadBytes =
-    24;  // bytes of quotes, brackets and the flag around a machine's names
-constexpr std::size_t kAttemptOverheadBytes = 24;  // bytes of an attempt's number, index and punctuation
-constexpr std::size_t kBatchOverheadBytes = 96;    // bytes of the frame and the transaction's marker
-
-std::size_t hostBytes(const Machine& machine) {
+// Quotes, brackets and the spot flag around a machine's names.
+constexpr std::size_t kHostOverheadBytes = 24;
+// The number, the task index and the punctuation of an attempt.
+constexpr std::size_t kAttemptOverheadBytes = 24;
+// The enclosing object and the transaction's marker.
+constexpr std::size_t kBatchOverheadBytes = 96;
+
+std::size_t estimatedHostBytes(const Machine& machine) {
   return kHostOverheadBytes + machine.host.text.size() + machine.machineType.size() + machine.zone.size();
 }
-std::size_t attemptBytes(const Attempt& attempt) {
+std::size_t estimatedAttemptBytes(const Attempt& attempt) {
   return kAttemptOverheadBytes + attempt.task.job.text.size();
 }
 }  // namespace
@@ -24,7 +26,7 @@
 std::optional<std::vector<BatchedHost>> decodePlacementBatch(const Json& value) {
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_object()) return std::nullopt;
-  std::vector<BatchedHost> out;
+  std::vector<BatchedHost> decoded;
   for (const auto& [host, entry] : hosts->items()) {
     if (!entry.is_array() || entry.size() != 4 || !entry[0].is_string() || !entry[1].is_string() ||
         !entry[2].is_boolean() || !entry[3].is_array() || entry[3].size() % 2 != 0)
@@ -37,9 +39,9 @@
       if (!task || !list[i + 1].is_number_unsigned()) return std::nullopt;
       record.placed.push_back(BatchedAttempt{*task, list[i + 1].get<std::uint64_t>()});
     }
-    out.push_back(std::move(record));
+    decoded.push_back(std::move(record));
   }
-  return out;
+  return decoded;
 }
 
 std::uint64_t PlacementBatchTable::revision(std::uint32_t number) const {
@@ -55,10 +57,10 @@
 }
 
 std::vector<std::uint32_t> PlacementBatchTable::batchesNaming(const std::string& host) const {
-  std::vector<std::uint32_t> out;
+  std::vector<std::uint32_t> numbers;
   for (const auto& [number, batch] : batches_)
-    if (batch.hosts.contains(host)) out.push_back(number);
-  return out;
+    if (batch.hosts.contains(host)) numbers.push_back(number);
+  return numbers;
 }
 
 void PlacementBatchTable::recountBytes(const MachineTable& machines) {
@@ -69,10 +71,10 @@
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch) continue;
       PlacementBatch& batch = batches_[*attempt.batch];
-      batch.estimatedBytes += attemptBytes(attempt);
+      batch.estimatedBytes += estimatedAttemptBytes(attempt);
       if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
       seen.push_back(*attempt.batch);
-      batch.estimatedBytes += hostBytes(machine);
+      batch.estimatedBytes += estimatedHostBytes(machine);
     }
   }
 }
@@ -80,8 +82,8 @@
 std::optional<std::uint32_t> PlacementBatchTable::assignBatch(const Machine& machine, const Attempt& attempt,
                                                               std::set<std::uint32_t>& roundBatches,
                                                               std::size_t maxRoundBatches) {
-  // The batch may name the machine already. Counting it again overestimates the size, which is safe.
-  const std::size_t bytes = attemptBytes(attempt) + hostBytes(machine);
+  // If the batch names the machine already, counting it again overestimates the size, which is safe.
+  const std::size_t bytes = estimatedAttemptBytes(attempt) + estimatedHostBytes(machine);
   const auto addTo = [&](std::uint32_t number) {
     batches_[number].estimatedBytes += bytes;
     roundBatches.insert(number);
@@ -98,7 +100,7 @@
 
 std::optional<std::uint32_t> PlacementBatchTable::emptiestBatch(
     const std::set<std::uint32_t>& roundBatches) const {
-  // Batches that are more than half full are left alone: they would be rewritten for little gain.
+  // Batches that are more than half full are not chosen, as rewriting them would gain little room.
   std::optional<std::uint32_t> emptiest;
   std::size_t leastBytes = 0;
   for (const auto& [number, batch] : batches_) {
@@ -126,26 +128,26 @@
     if (attempt.batch != number) continue;
     ++inBatch;
     if (fits(number)) continue;
-    // One batch of the round stays reserved for the batch that is being shrunk.
+    // One of the round's batches is reserved for the batch that is being shrunk.
     const auto other = assignBatch(machine, attempt, roundBatches, maxRoundBatches - 1);
     if (!other) return false;
     attempt.batch = other;
-    batches_[number].estimatedBytes -= attemptBytes(attempt);
+    batches_[number].estimatedBytes -= estimatedAttemptBytes(attempt);
     ++moved;
   }
-  if (moved > 0 && moved == inBatch) batches_[number].estimatedBytes -= hostBytes(machine);
+  if (moved > 0 && moved == inBatch) batches_[number].estimatedBytes -= estimatedHostBytes(machine);
   return true;
 }
 
 std::map<std::uint32_t, Json> PlacementBatchTable::encode(const MachineTable& machines,
                                                           const std::set<std::uint32_t>& numbers) const {
-  std::map<std::uint32_t, Json> out;
-  for (const std::uint32_t number : numbers) out[number] = Json{{"hosts", Json::object()}};
+  std::map<std::uint32_t, Json> values;
+  for (const std::uint32_t number : numbers) values[number] = Json{{"hosts", Json::object()}};
   for (const auto& [host, machine] : machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch || attempt.phase == AttemptPhase::released) continue;
-      const auto batch = out.find(*attempt.batch);
-      if (batch == out.end()) continue;
+      const auto batch = values.find(*attempt.batch);
+      if (batch == values.end()) continue;
       Json& entry = batch->second["hosts"][host];
       if (entry.is_null())
         entry = Json::array({machine.machineType, machine.zone, machine.spot, Json::array()});
@@ -153,7 +155,7 @@
       entry[3].push_back(attempt.number);
     }
   }
-  return out;
+  return values;
 }
 
 }  // namespace reachhoist::machines
--- a/src/machines/placement_batches.hpp
+++ b/src/machines/placement_batches.hpp
@@ -1,6 +1,6 @@
-// Durable placements as placement batches. A batch is one key of the key-value store and holds the placement
-// records of many task attempts on many machines, so that one compare-and-swap transaction carries a whole
-// scheduling round. The next write of a batch leaves out attempts that have been released.
+// Placement batches, the durable form of placements. A batch is one key of the key-value store and holds the
+// placement records of many task attempts on many machines, so that one compare-and-swap transaction carries
+// a whole scheduling round. The next write of a batch omits attempts that have been released.
 #pragma once
 
 #include <map>
@@ -12,24 +12,24 @@
 
 namespace reachhoist::machines {
 
-// What the leader knows of one stored batch.
+// The leader's state of one batch.
 struct PlacementBatch {
-  std::uint64_t revision = 0;      // 0: not written yet
-  std::size_t estimatedBytes = 0;  // estimated size of its next value, in JSON form
-  std::set<std::string> hosts;     // machines that its last written value names
+  std::uint64_t revision = 0;      // of the stored value; 0 if the batch has not been written yet
+  std::size_t estimatedBytes = 0;  // size of its next value in JSON form
+  std::set<std::string> hosts;     // machines named in the stored value
 };
 
-// Key of a batch.
+// The key of a batch.
 std::string placementBatchKey(std::uint32_t number);
 
 // The placement record of one task attempt.
 struct BatchedAttempt {
   wire::TaskId task;
-  std::uint64_t number = 0;  // of the attempt
+  std::uint64_t number = 0;  // attempt number
   bool operator==(const BatchedAttempt&) const = default;
 };
 
-// One machine in a batch, with its placement records.
+// A machine in a batch, with its placement records.
 struct BatchedHost {
   std::string host;
   std::string machineType;
@@ -44,40 +44,43 @@
 // The placement batches of the leader. Not thread-safe.
 class PlacementBatchTable {
  public:
-  // `valueSizeLimit`: the largest size of a batch in bytes, from the store's value size limit.
+  // `valueSizeLimit` is the largest size of a batch in bytes, derived from the store's value size limit.
   explicit PlacementBatchTable(std::size_t valueSizeLimit) : valueSizeLimit_(valueSizeLimit) {}
 
   void clear() { batches_.clear(); }
-  // Records the stored state of a batch, after it was loaded or written.
+  // Records the stored state of a batch after it has been loaded or written.
   void setStored(std::uint32_t number, std::uint64_t revision, std::set<std::string> hosts);
   // The revision of the stored batch; 0 if there is none.
   std::uint64_t revision(std::uint32_t number) const;
-  // Numbers of the batches whose stored value names the machine.
+  // The numbers of the batches whose stored value names the machine.
   std::vector<std::uint32_t> batchesNaming(const std::string& host) const;
   std::size_t size() const { return batches_.size(); }
 
-  // Counts again how many bytes each batch's next value takes.
+  // Recomputes the estimated size of each batch's next value.
   void recountBytes(const MachineTable& machines);
   // Chooses the batch for a new attempt: one that this round writes already, one that is at most half full,
-  // or a new one, which joins `roundBatches`. Nothing if the round may write no further batch.
+  // or a new one. The batch is added to `roundBatches`. Returns nothing if the round would have to write more
+  // than `maxRoundBatches`.
   std::optional<std::uint32_t> assignBatch(const Machine& machine, const Attempt& attempt,
                                            std::set<std::uint32_t>& roundBatches,
                                            std::size_t maxRoundBatches);
-  // Makes a batch fit that an earlier version wrote under a larger limit: attempts beyond the limit move to
-  // other batches, which join `roundBatches`. Each step is safe by itself: until the batch itself is written,
-  // its stored value still names what has moved. Returns whether the batch may be written now.
+  // Shrinks a batch that an earlier version wrote under a larger size limit. Attempts beyond the limit move
+  // to other batches, which are added to `roundBatches`. A crash between the writes loses nothing: until the
+  // batch itself is written, its stored value still names the moved attempts. Returns whether the batch can
+  // be written now.
   bool shrinkBatch(MachineTable& machines, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
                    std::size_t maxRoundBatches);
-  // The next values of the given batches.
+  // The next values of the given batches, by batch number.
   std::map<std::uint32_t, Json> encode(const MachineTable& machines,
                                        const std::set<std::uint32_t>& numbers) const;
 
  private:
-  // Moves attempts of the machine to other batches until the batch fits. False if there is no batch for one.
+  // Moves attempts of the machine to other batches until the batch fits. False if no batch can take an
+  // attempt.
   bool moveExcess(Machine& machine, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
                   std::size_t maxRoundBatches);
   bool fits(std::uint32_t number) { return batches_[number].estimatedBytes <= valueSizeLimit_; }
-  // The least full batch that the round does not write yet, if it is at most half full.
+  // The emptiest batch that the round does not write yet, if it is at most half full.
   std::optional<std::uint32_t> emptiestBatch(const std::set<std::uint32_t>& roundBatches) const;
 
   std::map<std::uint32_t, PlacementBatch> batches_;
