--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -185,7 +185,7 @@
 inline constexpr milliseconds kMinBootTimeout = 60s;
 // By the protocol, instances are usually up within this time.
 inline constexpr double kExpectedBootFactor = 1.5;
-// Added to the expected boot time, until the first heartbeat arrives.
+// The expected boot time includes this slack for the first heartbeat to arrive.
 inline constexpr milliseconds kFirstHeartbeatSlack = 5s;
 // Expected boot time as a factor of the median of recent boots, which are the quicker ones.
 inline constexpr double kMedianBootExpectedFactor = 1.8;
@@ -265,7 +265,7 @@
 // Tasks per record of completed tasks. The record takes 1 KiB of hex, below any value size limit.
 inline constexpr std::uint32_t kTasksPerDoneChunk = 4096;
 // --- Order of jobs ---------------------------------------------------------------------------------------
-// Added to a job's expected run time, as a share of it. Users' estimates are often wrong by half.
+// A job's expected run time is raised by this share of it, as users' estimates are often wrong by half.
 inline constexpr double kRunTimeEstimateSlackShare = 0.5;
 // Start time SLO of jobs for which the operators configure none.
 inline constexpr milliseconds kDefaultStartSlo = 5min;
--- a/src/fleet/boot_times.hpp
+++ b/src/fleet/boot_times.hpp
@@ -42,7 +42,7 @@
   };
   using Key = std::pair<std::string, std::string>;  // machine type, zone
   void add(const Key& key, Boot boot);
-  // Median startup latency of the recent successful boots; zero without enough of them.
+  // The median startup latency of the recent successful boots, or zero if there are too few of them.
   Duration medianBootTime(const Key& key, Time now) const;
 
   std::map<Key, std::deque<Boot>> records_;
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -80,9 +80,9 @@
       view.busyShare = found->second.usedCpus / found->second.totalCpus;
     addQueue(snapshot, queue, view);
   }
-  std::vector<PoolView> out;
-  for (auto& [key, view] : views) out.push_back(std::move(view));
-  return out;
+  std::vector<PoolView> sortedViews;
+  for (auto& [key, view] : views) sortedViews.push_back(std::move(view));
+  return sortedViews;
 }
 
 }  // namespace reachhoist::fleet
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -130,13 +130,13 @@
 Json Sizing::encode(std::size_t valueSizeLimit) const {
   Json points = Json::array();
   for (const ParetoPoint& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
-  Json out{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
+  Json state{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
   for (std::size_t limit = constants::kMaxStoredEpisodes; limit > 0; limit /= 2) {
-    out["episodes"] = buffer_.encode(limit);
-    if (out.dump().size() <= valueSizeLimit) break;
-    out["episodes"] = Json::array();
+    state["episodes"] = buffer_.encode(limit);
+    if (state.dump().size() <= valueSizeLimit) break;
+    state["episodes"] = Json::array();
   }
-  return out;
+  return state;
 }
 
 bool Sizing::decode(const Json& value) {
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -24,13 +24,13 @@
 
 // The state of a gang (gang scheduling) on the leader.
 enum class GangState : std::uint8_t {
-  waiting,    // waits for free capacity; no machine runs a task of an earlier attempt any more
-  reserving,  // its placement records are being written, in one or more transactions; no task starts before
-              // the last of them
-  gathering,  // started: its tasks pull their images and wait for each other
+  waiting,    // the gang waits for free capacity, and no machine holds a task of an earlier attempt any more
+  reserving,  // the leader writes the placement records in one or more transactions, and starts no task
+              // before the last of them
+  gathering,  // the tasks have been started, pull their images and wait for each other
   running,    // all tasks run
-  stopping,   // all tasks are being stopped, with a checkpoint if they can write one
-  clearing,   // the attempt has failed, and its remaining tasks are being stopped
+  stopping,   // the leader stops all tasks, with a checkpoint if they can write one
+  clearing,   // the attempt has failed, and the leader stops its remaining tasks
   done        // a worker reported one task as done, which completes all of them
 };
 
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -68,7 +68,7 @@
 enum class MachinePhase {
   booting,          // requested from the cloud, without a heartbeat yet
   up,               // takes work
-  draining,         // takes no new work; its attempts are stopped or run to their end
+  draining,         // takes no new work, and its attempts are stopped or run to their end
   decommissioning,  // the leader writes the record of its termination
   terminating,      // the leader has requested its termination from the cloud
   terminated        // proven to no longer exist
