--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -205,7 +205,7 @@
 // A machine becomes suspect after this many consecutive task errors.
 inline constexpr int kSuspectAfterErrors = 2;
 // A suspect machine gets no new work for this long, while its jobs are tried elsewhere.
-inline constexpr milliseconds kSuspectPause = 15s;
+inline constexpr milliseconds kSuspectDuration = 15s;
 // A task that runs on another machine for this much longer than the longest failed run proves that the job is
 // not at fault.
 inline constexpr milliseconds kHealthyRunTime = 5s;
--- a/src/fleet/payoff.cpp
+++ b/src/fleet/payoff.cpp
@@ -10,13 +10,14 @@
 
 ParetoPoint normalised(const StepOutcome& outcome) {
   return ParetoPoint{std::clamp(outcome.waitAfterS / outcome.maxWaitS, 0.0, 1.0),
-                     std::clamp(outcome.costAfter / outcome.maxCost, 0.0, 1.0)};
+                     std::clamp(outcome.costAfterPerHour / outcome.maxCostPerHour, 0.0, 1.0)};
 }
 
 double payoff(const StepOutcome& outcome, const ParetoFrontier& frontier) {
   const double wait =
       constants::kWaitWeight * (outcome.waitBeforeS - outcome.waitAfterS) / outcome.waitBaselineS;
-  const double cost = -constants::kCostWeight * (outcome.costAfter - outcome.costBefore) / outcome.costBudget;
+  const double cost = -constants::kCostWeight * (outcome.costAfterPerHour - outcome.costBeforePerHour) /
+                      outcome.costBudgetPerHour;
   const double waitRatio = outcome.waitAfterS / outcome.targetS;
   const double penalty = waitRatio > 1 ? 1 - waitRatio * waitRatio : 0;
   // The bonus is the severity before the step times the size of the step. Any step counts half a unit more.
--- a/src/fleet/payoff.hpp
+++ b/src/fleet/payoff.hpp
@@ -6,17 +6,17 @@
 
 namespace reachhoist::fleet {
 
-// The effect of a step. Costs are prices per hour.
+// The effect of a step. Costs are the prices of the pool's machines.
 struct StepOutcome {
-  double waitBeforeS = 0;    // longest queue wait at the choice of the step
-  double waitAfterS = 0;     // longest queue wait one round later
-  double waitBaselineS = 1;  // divides the drop in queue wait
-  double maxWaitS = 1;       // normalises the queue wait (L_max)
-  double targetS = 1;        // target of the queue wait
-  double costBefore = 0;     // the pool's price per hour at the choice of the step
-  double costAfter = 0;      // the pool's price per hour one round later
-  double costBudget = 1;     // divides the rise in cost
-  double maxCost = 1;        // normalises the cost (C_max)
+  double waitBeforeS = 0;        // longest queue wait at the choice of the step
+  double waitAfterS = 0;         // longest queue wait one round later
+  double waitBaselineS = 1;      // divides the drop in queue wait
+  double maxWaitS = 1;           // normalises the queue wait (L_max)
+  double targetS = 1;            // target of the queue wait
+  double costBeforePerHour = 0;  // at the choice of the step
+  double costAfterPerHour = 0;   // one round later
+  double costBudgetPerHour = 1;  // divides the rise in cost
+  double maxCostPerHour = 1;     // normalises the cost (C_max)
   int units = 0;
 };
 
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -55,7 +55,7 @@
   if (state.unscored->before.units > 0 && pool.overdueBoots > 0) return state.unscored.reset();
   StepOutcome outcome = state.unscored->before;
   outcome.waitAfterS = pool.queueWaitS;
-  outcome.costAfter = pool.machines * pool.pricePerHour;
+  outcome.costAfterPerHour = pool.machines * pool.pricePerHour;
   const double value = payoff(outcome, frontier_);
   buffer_.add(Episode{state.unscored->context, outcome.units, value});
   frontier_.update(normalised(outcome));
@@ -81,19 +81,19 @@
   before.waitBaselineS = constants::kMaxWaitTargets * queueWaitTargetS();
   before.maxWaitS = before.waitBaselineS;
   before.targetS = queueWaitTargetS();
-  before.costBefore = pool.machines * pool.pricePerHour;
+  before.costBeforePerHour = pool.machines * pool.pricePerHour;
   // The cost of a step is scaled by the cost of its pool. Scaled by the cost of a few machines, any step of a
   // large pool would seem too expensive.
   const double pricePerHour = std::max(pool.pricePerHour, 1e-6);
-  before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * pricePerHour;
+  before.costBudgetPerHour = std::max<double>(constants::kSmallPoolMachines, pool.machines) * pricePerHour;
   const double maxMachines =
       pool.machines * (1.0 + 1.0 * constants::kMaxStepUnits / constants::kDefaultStepDivisor);
-  before.maxCost = std::max(constants::kSmallPoolMachines, maxMachines) * pricePerHour;
+  before.maxCostPerHour = std::max(constants::kSmallPoolMachines, maxMachines) * pricePerHour;
   before.units = units;
   return before;
 }
 
-std::vector<Step> Sizing::round(Time now, const std::vector<PoolView>& pools) {
+std::vector<Step> Sizing::runRound(Time now, const std::vector<PoolView>& pools) {
   nextRoundAt_ = now + wire::seconds(settings_.operators.sizingRoundS);
   std::vector<Step> steps;
   for (const PoolView& pool : pools) {
--- a/src/fleet/sizing.hpp
+++ b/src/fleet/sizing.hpp
@@ -38,7 +38,7 @@
 
   bool isRoundDue(Time now) const { return now >= nextRoundAt_; }
   // Scores the steps of the last round and returns the next ones. Pools without a step are left out.
-  std::vector<Step> round(Time now, const std::vector<PoolView>& pools);
+  std::vector<Step> runRound(Time now, const std::vector<PoolView>& pools);
   // Takes back the pool's step of the last round, as its instance request was refused: it starts no cooldown
   // and is not scored.
   void onScaleOutRefused(const PoolKey& pool);
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -90,8 +90,8 @@
 // Commands that are sent to the worker directly rather than in the answer to a heartbeat.
 struct DirectCommands {
   bool inFlight = false;
-  bool due = false;   // there are commands that a heartbeat's answer is unlikely to carry soon
-  Time nextSendAt{};  // no command is sent before this time
+  bool isDue = false;  // there are commands that a heartbeat's answer is unlikely to carry soon
+  Time nextSendAt{};   // no command is sent before this time
 };
 
 // Failures of tasks on a machine, until it is decided whether the machine or the jobs are at fault.
@@ -116,11 +116,11 @@
   double imageCacheGb = 0;  // size of the image cache; 0 if unknown
   double imagePullGbPerS = 1;
   MachinePhase phase = MachinePhase::booting;
-  std::uint64_t incarnation = 0;      // of the worker; 0 until a heartbeat reports it
-  std::uint64_t sequence = 0;         // of the last heartbeat; 0 if there is none in this term
-  std::uint64_t workerToken = 0;      // highest fencing token that the worker has reported
-  std::uint64_t fencingSequence = 0;  // counts the machine's fencing tokens in this term
-  bool transactionInFlight = false;   // a transaction that concerns the machine is under way
+  std::uint64_t incarnation = 0;            // of the worker; 0 until a heartbeat reports it
+  std::uint64_t lastHeartbeatSequence = 0;  // 0 if there is no heartbeat in this term
+  std::uint64_t workerToken = 0;            // highest fencing token that the worker has reported
+  std::uint64_t fencingSequence = 0;        // counts the machine's fencing tokens in this term
+  bool transactionInFlight = false;         // a transaction that concerns the machine is under way
   WorkerContact contact;
   DirectCommands directCommands;
   MachineFaults faults;
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -39,7 +39,7 @@
 void Autoscaler::sizingRound() {
   const fleet::FleetSnapshot snapshot = fleetSnapshot();
   fleet::Headroom headroom(snapshot);
-  for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(snapshot))) {
+  for (const fleet::Step& step : sizing_.runRound(context_.now, fleet::viewPools(snapshot))) {
     context_.event(
         Level::info, "step",
         {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -12,7 +12,7 @@
 // earlier state.
 bool isNewer(const Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   return heartbeat.incarnation > machine.incarnation ||
-         (heartbeat.incarnation == machine.incarnation && heartbeat.sequence > machine.sequence);
+         (heartbeat.incarnation == machine.incarnation && heartbeat.sequence > machine.lastHeartbeatSequence);
 }
 }  // namespace
 
@@ -78,7 +78,7 @@
                                HeartbeatSource source) {
   if (!isNewer(machine, heartbeat)) return;
   if (heartbeat.incarnation > machine.incarnation) onNewIncarnation(machine, heartbeat);
-  machine.sequence = heartbeat.sequence;
+  machine.lastHeartbeatSequence = heartbeat.sequence;
   if (source != HeartbeatSource::relay) machine.contact.lastDirectContactAt = context_.now;
   applyFencingToken(machine, heartbeat);
   applySpotNotice(machine, heartbeat);
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -50,7 +50,7 @@
   const auto moveUnheardAfter = state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1);
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
-    const auto patience = machine.sequence == 0 ? moveUnheardAfter : moveAfter;
+    const auto patience = machine.lastHeartbeatSequence == 0 ? moveUnheardAfter : moveAfter;
     if (context_.now - machine.contact.lastHeartbeatAt < patience) continue;
     const double cpus = serviceCpus(machine);
     if (cpus == 0 || cpus > capacity) continue;
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -21,7 +21,7 @@
   ++machine.faults.consecutiveErrors;
   machine.faults.failedJobs.insert(ref);
   if (machine.faults.consecutiveErrors >= constants::kSuspectAfterErrors)
-    machine.faults.suspectUntil = context_.now + constants::kSuspectPause;
+    machine.faults.suspectUntil = context_.now + constants::kSuspectDuration;
 }
 
 void TaskFailurePolicy::clearMachineSuspicion(const std::string& ref) {
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -25,7 +25,7 @@
 }
 
 void WorkerCommands::markDue(Machine& machine) {
-  machine.directCommands.due = true;
+  machine.directCommands.isDue = true;
   dueHosts_.insert(machine.host.text);
 }
 
@@ -131,7 +131,7 @@
   // Machines beyond the limit wait: those that don't answer occupy their calls until the time limit.
   for (auto at = dueHosts_.begin(); at != dueHosts_.end() && mayCall();) {
     Machine* machine = state_.machines.find(*at);
-    const bool due = machine != nullptr && machine->directCommands.due;
+    const bool due = machine != nullptr && machine->directCommands.isDue;
     if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextSendAt)) {
       ++at;
       continue;
@@ -142,7 +142,7 @@
 }
 
 void WorkerCommands::sendDirectCommands(Machine& machine) {
-  machine.directCommands.due = false;
+  machine.directCommands.isDue = false;
   if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.mayRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   DirectCall direct{machine.host.text, fencingTokenOf(machine), machine.incarnation,
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -24,8 +24,8 @@
   unsigned left =
       std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kUnheardCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
-        machine.endpoint.empty())
+    if (machine.phase != MachinePhase::up || machine.lastHeartbeatSequence != 0 ||
+        machine.contact.takeoverProbeSent || machine.endpoint.empty())
       continue;
     if (left-- == 0 || !commands_.mayCall()) return;
     machine.contact.takeoverProbeSent = true;
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -31,7 +31,7 @@
   out.up = 1;
   out.quiet = now - machine.contact.lastHeartbeatAt > overdue ? 1 : 0;
   out.indirect = out.quiet != 0 || now - machine.contact.lastDirectContactAt > overdue ? 1 : 0;
-  out.heard = machine.sequence != 0 ? 1 : 0;
+  out.heard = machine.lastHeartbeatSequence != 0 ? 1 : 0;
   return out;
 }
 
