--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -1,4 +1,4 @@
-// Sizing rounds: contexts, the step choice, its validation against limits and cooldowns, and its scoring.
+// Sizing rounds: contexts, the choice of steps, their validation against limits and cooldowns, and scoring.
 #include "fleet/sizing.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A pool less busy than this, without a queue, is a unit too large.
-constexpr double kUnderusedShare = 0.5;
+// A pool without a queue whose busy share is smaller has a unit too many.
+constexpr double kUnderusedBusyShare = 0.5;
 
 double queueWaitTargetS() { return wire::toSeconds(constants::kQueueWaitTarget); }
 
@@ -20,17 +20,17 @@
   return share <= 1 ? share : 1 + std::log2(share) / constants::kSizeFeatureDoublings;
 }
 
-int unitOf(int machines, int divisor) { return std::max(1, machines / std::max(1, divisor)); }
+int machinesPerUnit(int machines, int divisor) { return std::max(1, machines / std::max(1, divisor)); }
 
 int Sizing::allowedUnits(const PoolView& pool, const PoolState& state, int units, Time now) const {
   units = std::clamp(units, constants::kMinStepUnits, constants::kMaxStepUnits);
-  if (units > 0 &&
-      (pool.refused || (state.lastScaleOut != Time{} &&
-                        now - state.lastScaleOut < wire::seconds(settings_.operators.scaleUpCooldownS))))
+  if (units > 0 && (pool.requestRefused ||
+                    (state.lastScaleOutAt != Time{} &&
+                     now - state.lastScaleOutAt < wire::seconds(settings_.operators.scaleUpCooldownS))))
     return 0;
-  if (units < 0 && (pool.releasable == 0 ||
-                    (state.lastScaleIn != Time{} &&
-                     now - state.lastScaleIn < wire::seconds(settings_.operators.scaleDownCooldownS))))
+  if (units < 0 && (pool.releasableMachines == 0 ||
+                    (state.lastScaleInAt != Time{} &&
+                     now - state.lastScaleInAt < wire::seconds(settings_.operators.scaleDownCooldownS))))
     return 0;
   return units;
 }
@@ -38,24 +38,24 @@
 int Sizing::unitsForQueue(const PoolView& pool) const {
   if (pool.queueWaitS > 2 * queueWaitTargetS()) return 2;
   if (pool.queueWaitS > queueWaitTargetS()) return 1;
-  return pool.queueWaitS == 0 && pool.busyShare < kUnderusedShare ? -1 : 0;
+  return pool.queueWaitS == 0 && pool.busyShare < kUnderusedBusyShare ? -1 : 0;
 }
 
 PoolContext Sizing::contextOf(const PoolView& pool) const {
   const double machines = std::max(1, pool.machines);
   const auto scaled = [](double value, double max) { return std::clamp(value / max, 0.0, 1.0); };
   return PoolContext{scaled(pool.queueWaitS, constants::kMaxWaitTargets * queueWaitTargetS()),
-                     scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idle / machines,
+                     scaled(pool.queuedTasks, 8 * machines), pool.busyShare, pool.idleMachines / machines,
                      sizeFeature(pool.machines)};
 }
 
 void Sizing::scorePreviousStep(const PoolView& pool, PoolState& state) {
   if (!state.unscored) return;
-  // While instances are overdue, the step has not taken effect: there is nothing to score.
-  if (state.unscored->before.units > 0 && pool.overdue > 0) return state.unscored.reset();
+  // While boots are overdue, the step has not taken full effect and cannot be scored.
+  if (state.unscored->before.units > 0 && pool.overdueBoots > 0) return state.unscored.reset();
   StepOutcome outcome = state.unscored->before;
   outcome.waitAfterS = pool.queueWaitS;
-  outcome.costAfter = pool.machines * pool.ratePerHour;
+  outcome.costAfterPerHour = pool.machines * pool.pricePerHour;
   const double value = payoff(outcome, frontier_);
   buffer_.add(Episode{state.unscored->context, outcome.units, value});
   frontier_.update(normalised(outcome));
@@ -70,7 +70,7 @@
   }
   const auto retrieved = buffer_.retrieve(context, static_cast<std::size_t>(settings_.operators.episodes));
   if (const auto choice = chooseStep(retrieved, context))
-    return Decision{choice->units, "episodes:" + std::to_string(choice->support) +
+    return Decision{choice->units, "episodes:" + std::to_string(choice->supportingEpisodes) +
                                        ",value:" + std::to_string(choice->value)};
   return Decision{unitsForQueue(pool), "queue"};
 }
@@ -81,39 +81,39 @@
   before.waitBaselineS = constants::kMaxWaitTargets * queueWaitTargetS();
   before.maxWaitS = before.waitBaselineS;
   before.targetS = queueWaitTargetS();
-  before.costBefore = pool.machines * pool.ratePerHour;
-  // The cost of a step is compared with the cost of its pool: compared with that of a few machines, any step
-  // of a large pool would look too expensive.
-  const double rate = std::max(pool.ratePerHour, 1e-6);
-  before.costBudget = std::max<double>(constants::kSmallPoolMachines, pool.machines) * rate;
-  const double grown =
+  before.costBeforePerHour = pool.machines * pool.pricePerHour;
+  // The cost of a step is scaled by the cost of its pool. Scaled by the cost of a few machines, any step of a
+  // large pool would seem too expensive.
+  const double pricePerHour = std::max(pool.pricePerHour, 1e-6);
+  before.costBudgetPerHour = std::max<double>(constants::kSmallPoolMachines, pool.machines) * pricePerHour;
+  const double maxMachines =
       pool.machines * (1.0 + 1.0 * constants::kMaxStepUnits / constants::kDefaultStepDivisor);
-  before.maxCost = std::max(constants::kSmallPoolMachines, grown) * rate;
+  before.maxCostPerHour = std::max(constants::kSmallPoolMachines, maxMachines) * pricePerHour;
   before.units = units;
   return before;
 }
 
-std::vector<Step> Sizing::round(Time now, const std::vector<PoolView>& pools) {
+std::vector<Step> Sizing::runRound(Time now, const std::vector<PoolView>& pools) {
   nextRoundAt_ = now + wire::seconds(settings_.operators.sizingRoundS);
   std::vector<Step> steps;
   for (const PoolView& pool : pools) {
     PoolState& state = poolStates_[pool.key];
     scorePreviousStep(pool, state);
-    // An empty pool has no unit: the scale-out for unplaced demand starts it.
+    // An empty pool has no unit. The scale-out for unplaced demand requests its first instances.
     if (pool.machines == 0) continue;
     const PoolContext context = contextOf(pool);
     Decision decision = chooseUnits(pool, context);
     const int units = allowedUnits(pool, state, decision.units, now);
     state.unscored = UnscoredStep{context, outcomeBefore(pool, units)};
     if (units == 0) continue;
-    Step step{pool.key, units, units * unitOf(pool.machines, settings_.operators.stepDivisor),
+    Step step{pool.key, units, units * machinesPerUnit(pool.machines, settings_.operators.stepDivisor),
               std::move(decision.why)};
     if (units > 0) {
-      state.previousScaleOut = state.lastScaleOut;
-      state.lastScaleOut = now;
+      state.previousScaleOutAt = state.lastScaleOutAt;
+      state.lastScaleOutAt = now;
     } else {
-      step.machines = -std::min(-step.machines, pool.releasable);
-      state.lastScaleIn = now;
+      step.machines = -std::min(-step.machines, pool.releasableMachines);
+      state.lastScaleInAt = now;
     }
     steps.push_back(std::move(step));
   }
@@ -123,20 +123,20 @@
 
 void Sizing::onScaleOutRefused(const PoolKey& pool) {
   PoolState& state = poolStates_[pool];
-  state.lastScaleOut = state.previousScaleOut;
+  state.lastScaleOutAt = state.previousScaleOutAt;
   state.unscored.reset();
 }
 
 Json Sizing::encode(std::size_t valueSizeLimit) const {
   Json points = Json::array();
   for (const ParetoPoint& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
-  Json out{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
+  Json state{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
   for (std::size_t limit = constants::kMaxStoredEpisodes; limit > 0; limit /= 2) {
-    out["episodes"] = buffer_.encode(limit);
-    if (out.dump().size() <= valueSizeLimit) break;
-    out["episodes"] = Json::array();
+    state["episodes"] = buffer_.encode(limit);
+    if (state.dump().size() <= valueSizeLimit) break;
+    state["episodes"] = Json::array();
   }
-  return out;
+  return state;
 }
 
 bool Sizing::decode(const Json& value) {
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -1,4 +1,4 @@
-// Placement batches: decoding, sizing and encoding; see placement_batches.hpp.
+// Decoding, size estimates and encoding of placement batches.
 #include "machines/placement_batches.hpp"
 
 #include <algorithm>
@@ -6,14 +6,19 @@
 namespace reachhoist::machines {
 
 namespace {
-constexpr std::size_t kHostFrame = 24;     // bytes of quotes, brackets and the flag around a machine's names
-constexpr std::size_t kAttemptFrame = 24;  // bytes of an attempt's number, index and punctuation
-constexpr std::size_t kBatchFrame = 96;    // bytes of the frame and the transaction's marker
-
-std::size_t hostBytes(const Machine& machine) {
-  return kHostFrame + machine.host.text.size() + machine.machineType.size() + machine.zone.size();
+// Quotes, brackets and the spot flag around a machine's names.
+constexpr std::size_t kHostOverheadBytes = 24;
+// The number, the task index and the punctuation of an attempt.
+constexpr std::size_t kAttemptOverheadBytes = 24;
+// The enclosing object and the transaction's marker.
+constexpr std::size_t kBatchOverheadBytes = 96;
+
+std::size_t estimatedHostBytes(const Machine& machine) {
+  return kHostOverheadBytes + machine.host.text.size() + machine.machineType.size() + machine.zone.size();
+}
+std::size_t estimatedAttemptBytes(const Attempt& attempt) {
+  return kAttemptOverheadBytes + attempt.task.job.text.size();
 }
-std::size_t attemptBytes(const Attempt& attempt) { return kAttemptFrame + attempt.task.job.text.size(); }
 }  // namespace
 
 std::string placementBatchKey(std::uint32_t number) { return "placed/" + std::to_string(number); }
@@ -21,7 +26,7 @@
 std::optional<std::vector<BatchedHost>> decodePlacementBatch(const Json& value) {
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_object()) return std::nullopt;
-  std::vector<BatchedHost> out;
+  std::vector<BatchedHost> decoded;
   for (const auto& [host, entry] : hosts->items()) {
     if (!entry.is_array() || entry.size() != 4 || !entry[0].is_string() || !entry[1].is_string() ||
         !entry[2].is_boolean() || !entry[3].is_array() || entry[3].size() % 2 != 0)
@@ -34,9 +39,9 @@
       if (!task || !list[i + 1].is_number_unsigned()) return std::nullopt;
       record.placed.push_back(BatchedAttempt{*task, list[i + 1].get<std::uint64_t>()});
     }
-    out.push_back(std::move(record));
+    decoded.push_back(std::move(record));
   }
-  return out;
+  return decoded;
 }
 
 std::uint64_t PlacementBatchTable::revision(std::uint32_t number) const {
@@ -52,97 +57,97 @@
 }
 
 std::vector<std::uint32_t> PlacementBatchTable::batchesNaming(const std::string& host) const {
-  std::vector<std::uint32_t> out;
+  std::vector<std::uint32_t> numbers;
   for (const auto& [number, batch] : batches_)
-    if (batch.hosts.contains(host)) out.push_back(number);
-  return out;
+    if (batch.hosts.contains(host)) numbers.push_back(number);
+  return numbers;
 }
 
 void PlacementBatchTable::recountBytes(const MachineTable& machines) {
-  for (auto& [number, batch] : batches_) batch.bytes = kBatchFrame;
+  for (auto& [number, batch] : batches_) batch.estimatedBytes = kBatchOverheadBytes;
   std::vector<std::uint32_t> seen;
   for (const auto& [host, machine] : machines.all()) {
     seen.clear();
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch) continue;
       PlacementBatch& batch = batches_[*attempt.batch];
-      batch.bytes += attemptBytes(attempt);
+      batch.estimatedBytes += estimatedAttemptBytes(attempt);
       if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
       seen.push_back(*attempt.batch);
-      batch.bytes += hostBytes(machine);
+      batch.estimatedBytes += estimatedHostBytes(machine);
     }
   }
 }
 
 std::optional<std::uint32_t> PlacementBatchTable::assignBatch(const Machine& machine, const Attempt& attempt,
                                                               std::set<std::uint32_t>& roundBatches,
-                                                              std::size_t roundBatchesMost) {
-  // The batch may name the machine already. Counting it again overestimates the size, which is safe.
-  const std::size_t bytes = attemptBytes(attempt) + hostBytes(machine);
+                                                              std::size_t maxRoundBatches) {
+  // If the batch names the machine already, counting it again overestimates the size, which is safe.
+  const std::size_t bytes = estimatedAttemptBytes(attempt) + estimatedHostBytes(machine);
   const auto addTo = [&](std::uint32_t number) {
-    batches_[number].bytes += bytes;
+    batches_[number].estimatedBytes += bytes;
     roundBatches.insert(number);
     return number;
   };
   for (const std::uint32_t number : roundBatches)
-    if (batches_[number].bytes + bytes <= valueSizeLimit_) return addTo(number);
-  if (roundBatches.size() >= roundBatchesMost) return std::nullopt;
+    if (batches_[number].estimatedBytes + bytes <= valueSizeLimit_) return addTo(number);
+  if (roundBatches.size() >= maxRoundBatches) return std::nullopt;
   if (const auto emptiest = emptiestBatch(roundBatches)) return addTo(*emptiest);
   const std::uint32_t added = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
-  batches_[added].bytes = kBatchFrame;
+  batches_[added].estimatedBytes = kBatchOverheadBytes;
   return addTo(added);
 }
 
 std::optional<std::uint32_t> PlacementBatchTable::emptiestBatch(
     const std::set<std::uint32_t>& roundBatches) const {
-  // Batches that are more than half full are left alone: they would be rewritten for little gain.
+  // Batches that are more than half full are not chosen, as rewriting them would gain little room.
   std::optional<std::uint32_t> emptiest;
   std::size_t leastBytes = 0;
   for (const auto& [number, batch] : batches_) {
-    if (roundBatches.contains(number) || batch.bytes > valueSizeLimit_ / 2) continue;
-    if (emptiest && batch.bytes >= leastBytes) continue;
+    if (roundBatches.contains(number) || batch.estimatedBytes > valueSizeLimit_ / 2) continue;
+    if (emptiest && batch.estimatedBytes >= leastBytes) continue;
     emptiest = number;
-    leastBytes = batch.bytes;
+    leastBytes = batch.estimatedBytes;
   }
   return emptiest;
 }
 
 bool PlacementBatchTable::shrinkBatch(MachineTable& machines, std::uint32_t number,
-                                      std::set<std::uint32_t>& roundBatches, std::size_t roundBatchesMost) {
-  if (fits(number)) return roundBatches.size() < roundBatchesMost;
+                                      std::set<std::uint32_t>& roundBatches, std::size_t maxRoundBatches) {
+  if (fits(number)) return roundBatches.size() < maxRoundBatches;
   for (auto& [host, machine] : machines.all())
-    if (!moveExcess(machine, number, roundBatches, roundBatchesMost)) return false;
-  return fits(number) && roundBatches.size() < roundBatchesMost;
+    if (!moveExcess(machine, number, roundBatches, maxRoundBatches)) return false;
+  return fits(number) && roundBatches.size() < maxRoundBatches;
 }
 
 bool PlacementBatchTable::moveExcess(Machine& machine, std::uint32_t number,
-                                     std::set<std::uint32_t>& roundBatches, std::size_t roundBatchesMost) {
+                                     std::set<std::uint32_t>& roundBatches, std::size_t maxRoundBatches) {
   std::size_t inBatch = 0;
   std::size_t moved = 0;
   for (Attempt& attempt : machine.attempts) {
     if (attempt.batch != number) continue;
     ++inBatch;
     if (fits(number)) continue;
-    // One batch of the round stays reserved for the batch that is being shrunk.
-    const auto other = assignBatch(machine, attempt, roundBatches, roundBatchesMost - 1);
+    // One of the round's batches is reserved for the batch that is being shrunk.
+    const auto other = assignBatch(machine, attempt, roundBatches, maxRoundBatches - 1);
     if (!other) return false;
     attempt.batch = other;
-    batches_[number].bytes -= attemptBytes(attempt);
+    batches_[number].estimatedBytes -= estimatedAttemptBytes(attempt);
     ++moved;
   }
-  if (moved > 0 && moved == inBatch) batches_[number].bytes -= hostBytes(machine);
+  if (moved > 0 && moved == inBatch) batches_[number].estimatedBytes -= estimatedHostBytes(machine);
   return true;
 }
 
 std::map<std::uint32_t, Json> PlacementBatchTable::encode(const MachineTable& machines,
                                                           const std::set<std::uint32_t>& numbers) const {
-  std::map<std::uint32_t, Json> out;
-  for (const std::uint32_t number : numbers) out[number] = Json{{"hosts", Json::object()}};
+  std::map<std::uint32_t, Json> values;
+  for (const std::uint32_t number : numbers) values[number] = Json{{"hosts", Json::object()}};
   for (const auto& [host, machine] : machines.all()) {
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch || attempt.phase == AttemptPhase::released) continue;
-      const auto batch = out.find(*attempt.batch);
-      if (batch == out.end()) continue;
+      const auto batch = values.find(*attempt.batch);
+      if (batch == values.end()) continue;
       Json& entry = batch->second["hosts"][host];
       if (entry.is_null())
         entry = Json::array({machine.machineType, machine.zone, machine.spot, Json::array()});
@@ -150,7 +155,7 @@
       entry[3].push_back(attempt.number);
     }
   }
-  return out;
+  return values;
 }
 
 }  // namespace reachhoist::machines
--- a/src/placement/bin.cpp
+++ b/src/placement/bin.cpp
@@ -10,7 +10,7 @@
 // Whether the job has failed on the machine. Its tasks are retried on other machines, unless the job itself
 // is at fault.
 bool isAvoided(const Job& job, const Machine& machine) {
-  return !job.failures.jobAtFault() && job.failures.failedOn(machine.host.text);
+  return !job.failures.isJobAtFault() && job.failures.hasFailedOn(machine.host.text);
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
   if (!machine.hasImage(job.spec.image)) {
     const double pullS = machine.pullSeconds(job.spec.imageSizeGb);
     const bool sharesPull = bin.plansImage(job.spec.image) || machine.isPulling(job.spec.image);
-    seconds += sharesPull ? pullS * constants::kSharedFetchCostShare : pullS;
+    seconds += sharesPull ? pullS * constants::kSharedPullCostShare : pullS;
   }
   if (job.spec.allowsSpot && !machine.spot) seconds += constants::kSpotJobOnDemandPenaltyS;
   const double usedShare =
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -46,8 +46,8 @@
       const double unfinishedCount = job->spec.taskCount - job->completedCount;
       usage.cpus += job->spec.taskResources.vcpus * unfinishedCount;
       usage.gpus += job->spec.taskResources.accelerators * unfinishedCount;
-      if (usage.cpus > team.cpus + constants::kResourceRounding ||
-          usage.gpus > team.gpus + constants::kResourceRounding)
+      if (usage.cpus > team.cpus + constants::kResourceTolerance ||
+          usage.gpus > team.gpus + constants::kResourceTolerance)
         break;
       guaranteed.insert(job->spec.ref.text);
     }
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -56,8 +56,8 @@
   std::vector<const Job*> openJobs;  // all open jobs
   std::vector<Machine*> machines;    // all machines that are not terminated
   std::size_t maxJobs = 30;          // jobs that can get tasks; each needs a condition in the transaction
-  std::size_t maxTasks = constants::kMaxTasksPerRound;
-  std::size_t maxPreemptions = constants::kMaxStopsPerRound;
+  std::size_t maxTasks = constants::kMaxPlacementsPerRound;
+  std::size_t maxPreemptions = constants::kMaxPreemptionsPerRound;
   const shares::Table* shares = nullptr;  // null if fair shares are off
   bool canPreemptForShares = false;       // whether this round can preempt attempts for fair shares
 };
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -34,7 +34,7 @@
   Job& job = *queued.job;
   if (job.waitingCount == 0) return;
   if (std::max(job.backoffUntil, job.failures.backoffUntil()) > state_.input.now) return;
-  const PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
+  const PlacementProgress progress{job.firstWaitingIndex, 0, PlacementLimit::none};
   // A starved job without a placed task starts a task even if its group has reached its fair share.
   const bool needsFirstTask = queued.tier == JobTier::starved && job.placedCount == 0;
   if (!needsFirstTask && !state_.isWithinShare(job)) {
@@ -42,7 +42,7 @@
     return;
   }
   if (job.isGang()) return gangPlacer_.place(job);
-  if (job.failures.jobAtFault()) return retryJobAtFault(job);
+  if (job.failures.isJobAtFault()) return retryJobAtFault(job);
   placeTasks(queued, progress, needsFirstTask ? ShareUse::oneTaskBeyondShare : ShareUse::withinShare);
 }
 
@@ -66,7 +66,7 @@
 
 void Round::retryJobAtFault(Job& job) {
   if (job.placedCount >= constants::kFaultyJobTrialTasks) return;
-  PlacementProgress progress{job.firstWaiting, 0, PlacementLimit::none};
+  PlacementProgress progress{job.firstWaitingIndex, 0, PlacementLimit::none};
   placeUpTo(job, constants::kFaultyJobTrialTasks - job.placedCount, ShareUse::withinShare, progress);
 }
 
@@ -98,7 +98,7 @@
     state_.plan.unplaced.push_back(UnplacedDemand{&job, job.spec.taskCount});
     return;
   }
-  if (job.failures.jobAtFault()) return;
+  if (job.failures.isJobAtFault()) return;
   progress.limit = PlacementLimit::none;
   const std::uint32_t taskLimit = tasksPerRound(queued);
   placeUpTo(job, taskLimit - std::min(progress.placedCount, taskLimit), ShareUse::leftoverCapacity, progress);
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -70,14 +70,14 @@
   // heartbeats and contact in one direction are not enough.
   if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > input.now) return false;
   const auto maxHeartbeatAge =
-      wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatLimit);
+      wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatIntervals);
   return input.now - machine.contact.lastHeartbeatAt <= maxHeartbeatAge && !machine.spotNoticeAt;
 }
 
 // Whether a command would arrive at once, judging by the contact with the machine so far.
 bool RoundState::isReachable(const Machine& machine) const {
   const auto maxHeartbeatAge = wire::seconds(
-      input.settings.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + kReachableSlackS);
+      input.settings.workers.heartbeatIntervalS * constants::kOverdueHeartbeatIntervals + kReachableSlackS);
   return machine.contact.tokenAcknowledged && !machine.contact.unreachable &&
          input.now - machine.contact.lastHeartbeatAt <= maxHeartbeatAge;
 }
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -16,11 +16,11 @@
   double concurrentTasks = std::numeric_limits<double>::infinity();
   if (team != nullptr && team->cpusMax > 0 && job.spec.taskResources.vcpus > 0)
     concurrentTasks = std::min(concurrentTasks, std::floor(team->cpusMax / job.spec.taskResources.vcpus +
-                                                           constants::kResourceRounding));
+                                                           constants::kResourceTolerance));
   if (team != nullptr && team->gpusMax > 0 && job.spec.taskResources.accelerators > 0)
     concurrentTasks = std::min(
         concurrentTasks,
-        std::floor(team->gpusMax / job.spec.taskResources.accelerators + constants::kResourceRounding));
+        std::floor(team->gpusMax / job.spec.taskResources.accelerators + constants::kResourceTolerance));
   return std::max(1.0, std::ceil(job.waitingCount / std::max(1.0, concurrentTasks)));
 }
 
@@ -30,7 +30,7 @@
   const double runCount = sequentialRunCount(job, settings);
   const double expectedRunTimeS = job.spec.expectedRunTimeS;
   // Estimates are often wrong by half, so an SLO is given up only when the job would miss it by that much.
-  const double slackS = expectedRunTimeS * constants::kEstimateSlack;
+  const double slackS = expectedRunTimeS * constants::kRunTimeEstimateSlackShare;
   const double ageS = static_cast<double>(wallClockMs - job.acceptedAtMs) / 1000.0;
   double nextLatestStartS = std::numeric_limits<double>::infinity();
   bool hasSlo = false;
--- a/src/placement/slo.hpp
+++ b/src/placement/slo.hpp
@@ -13,7 +13,7 @@
 };
 
 // Estimates the job's outlook at `wallClockMs` (milliseconds since the epoch). An SLO counts as out of reach
-// only if the job would miss it by more than `kEstimateSlack` of its expected run time.
+// only if the job would miss it by more than `kRunTimeEstimateSlackShare` of its expected run time.
 SloOutlook sloOutlook(const jobs::Job& job, const config::Settings& settings, std::int64_t wallClockMs);
 
 }  // namespace reachhoist::placement
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -29,7 +29,7 @@
   // The worker has received commands under this term, or was redirected a moment ago. It therefore has the
   // leader's address, and sent its heartbeat to this controller because the leader did not answer.
   return heartbeat.fencingToken >= cluster::fencingToken(leadership_.term(), 0) ||
-         context_.now - route.redirectedAt < constants::kRedirectMemory;
+         context_.now - route.redirectedAt < constants::kRedirectRetention;
 }
 
 bool HeartbeatRelay::mustRetryDirectPath(const WorkerRoute& route) const {
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -28,7 +28,7 @@
   // A new leader waits until the machines that are up have sent a heartbeat, so that it does not request the
   // whole fleet again.
   if (!state_.firstHeartbeatWindowElapsed() && !state_.machines.all().empty()) return;
-  if (sizing_.due(context_.now)) sizingRound();
+  if (sizing_.isRoundDue(context_.now)) sizingRound();
   if (context_.now < nextScaleOutAt_) return;
   nextScaleOutAt_ = context_.now + constants::kScaleOutInterval;
   fleet::FleetSnapshot snapshot = fleetSnapshot();
@@ -40,7 +40,7 @@
 void Autoscaler::sizingRound() {
   const fleet::FleetSnapshot snapshot = fleetSnapshot();
   fleet::Headroom headroom(snapshot);
-  for (const fleet::Step& step : sizing_.round(context_.now, fleet::viewPools(snapshot))) {
+  for (const fleet::Step& step : sizing_.runRound(context_.now, fleet::viewPools(snapshot))) {
     context_.event(
         Level::info, "step",
         {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
@@ -95,7 +95,7 @@
   if (refused > 0) {
     for (const std::string& ref : gangs)
       if (jobs::Job* job = state_.jobs.find(ref); job != nullptr && job->isOpen())
-        job->gang.scaleOutFellShort(context_.now);
+        job->gang.recordPartialScaleOut(context_.now);
     refusedPoolsUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
--- a/src/service/leader/boot_monitor.cpp
+++ b/src/service/leader/boot_monitor.cpp
@@ -23,7 +23,7 @@
 // timeout would discard machines that are about to come up.
 void BootMonitor::decommissionTimedOut() {
   // Machines that came up while this leader received no heartbeats get time to send one.
-  const auto heartbeatGracePeriod = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  const auto heartbeatGracePeriod = state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1);
   if (context_.now - state_.receivingHeartbeatsSince() < heartbeatGracePeriod) return;
   const fleet::BootCohorts cohorts(state_.existingMachines());
   for (auto& [host, machine] : state_.machines.all()) {
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -15,14 +15,15 @@
   prober_.sendTakeoverProbes();
   partitions_.observe(state_.machines, context_.now);
   const auto receivingFor = context_.now - state_.receivingHeartbeatsSince();
-  const bool canJudgeSilence = receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
-                               state_.holdsLeaderLease();
+  const bool canJudgeSilence =
+      receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
+      state_.holdsLeaderLease();
   if (partitions_.isMostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.clearRecoveredJobs();
   for (auto& [host, machine] : state_.machines.all())
     if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, canJudgeSilence);
-  if (receivingFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) &&
+  if (receivingFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) &&
       state_.holdsLeaderLease())
     failover_.moveServices();
 }
@@ -76,20 +77,22 @@
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
   const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
   const bool isPossiblyPartitioned = partitions_.isSuspected(machine.zone);
-  if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatLimit, 2) &&
+  if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
       (leaseExpired || !isPossiblyPartitioned))
     lifecycle_.decommission(machine, "missed heartbeats");
-  if (silentFor > state_.heartbeatTimeout(constants::kProbeAfterHeartbeats, 1)) prober_.probeOverdue(machine);
+  if (silentFor > state_.heartbeatTimeout(constants::kProbeHeartbeatIntervals, 1))
+    prober_.probeOverdue(machine);
   // A machine that has also left a probe unanswered is given up without waiting for a third missed heartbeat.
   if (machine.contact.unreachable &&
-      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1) && !isPossiblyPartitioned)
+      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) &&
+      !isPossiblyPartitioned)
     lifecycle_.decommission(machine, "unreachable");
   // The worker sends heartbeats but receives nothing from this leader: its lease has expired, and it can't
   // run work.
   const bool acknowledgementTimedOut =
       !machine.contact.tokenAcknowledged && machine.contact.unacknowledgedSince != Time{} &&
       context_.now - machine.contact.unacknowledgedSince >
-          context_.settings.leaseExpiry() + constants::kUnacknowledgedTimeout;
+          context_.settings.leaseExpiry() + constants::kUnacknowledgedTokenTimeout;
   if (acknowledgementTimedOut && machine.phase == MachinePhase::up)
     lifecycle_.decommission(machine, "token not acknowledged");
 }
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -48,10 +48,11 @@
   const auto moveDelay = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   // A machine without a heartbeat in this term can have been partitioned from the earlier leader for a long
   // time.
-  const auto moveDelayWithoutHeartbeat = state_.heartbeatTimeout(constants::kUnreachableHeartbeatLimit, 1);
+  const auto moveDelayWithoutHeartbeat =
+      state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1);
   for (auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
-    const auto delay = machine.sequence == 0 ? moveDelayWithoutHeartbeat : moveDelay;
+    const auto delay = machine.lastHeartbeatSequence == 0 ? moveDelayWithoutHeartbeat : moveDelay;
     if (context_.now - machine.contact.lastHeartbeatAt < delay) continue;
     const double vcpus = placedHighPriorityVcpus(machine);
     if (vcpus == 0 || vcpus > capacity) continue;
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -10,7 +10,7 @@
   const bool hasRun = attempt.runningSince != Time{};
   job->failures.recordFailure(machine.host.text,
                               hasRun ? context_.now - attempt.runningSince : wire::Duration{});
-  if (job->failures.jobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
+  if (job->failures.isJobAtFault() || (job->failures.isWidespread() && !succeedsElsewhere(ref, machine))) {
     // The job failed on every machine it was tried on. A few of its tasks are retried, at growing intervals,
     // until the user cancels the job.
     if (jobsFailingEverywhere_.insert(ref).second) {
@@ -22,23 +22,24 @@
   ++machine.faults.consecutiveErrors;
   machine.faults.failedJobs.insert(ref);
   if (machine.faults.consecutiveErrors >= constants::kSuspectAfterErrors)
-    machine.faults.suspectUntil = context_.now + constants::kSuspectPause;
+    machine.faults.suspectUntil = context_.now + constants::kSuspectDuration;
 }
 
 void TaskFailurePolicy::clearMachineSuspicion(const std::string& ref) {
   for (auto& [host, machine] : state_.machines.all())
-    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty()) machine.faults.clear();
+    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty())
+      machine.faults.clearSuspicion();
 }
 
 void TaskFailurePolicy::clearRecoveredJobs() {
   for (auto it = jobsFailingEverywhere_.begin(); it != jobsFailingEverywhere_.end();) {
     jobs::Job* job = state_.jobs.find(*it);
     const bool ended = job == nullptr || !job->isOpen();
-    if (!ended && job->failures.jobAtFault() && !succeedsElsewhere(*it, std::nullopt)) {
+    if (!ended && job->failures.isJobAtFault() && !succeedsElsewhere(*it, std::nullopt)) {
       ++it;
       continue;
     }
-    if (!ended && job->failures.jobAtFault()) {
+    if (!ended && job->failures.isJobAtFault()) {
       job->failures.reset();
       state_.requestPlacementRound();
     }
@@ -77,7 +78,7 @@
     if (job != nullptr && job->isOpen() && job->failures.failedMachineCount() < 2)
       allJobsFailElsewhere = false;
   }
-  if (allJobsFailElsewhere) machine.faults.clear();
+  if (allJobsFailElsewhere) machine.faults.clearSuspicion();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -25,7 +25,7 @@
 }
 
 void WorkerCommands::requestDirectCall(Machine& machine) {
-  machine.directCommands.due = true;
+  machine.directCommands.isDue = true;
   hostsAwaitingDirectCall_.insert(machine.host.text);
 }
 
@@ -134,8 +134,8 @@
   // timeout.
   for (auto it = hostsAwaitingDirectCall_.begin(); it != hostsAwaitingDirectCall_.end() && canStartCall();) {
     Machine* machine = state_.machines.find(*it);
-    const bool due = machine != nullptr && machine->directCommands.due;
-    if (due && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextAt)) {
+    const bool isDue = machine != nullptr && machine->directCommands.isDue;
+    if (isDue && (machine->directCommands.inFlight || context_.now < machine->directCommands.nextSendAt)) {
       ++it;
       continue;
     }
@@ -145,7 +145,7 @@
 }
 
 void WorkerCommands::sendDirectCommands(Machine& machine) {
-  machine.directCommands.due = false;
+  machine.directCommands.isDue = false;
   if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.canRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   DirectCall directCall{machine.host.text, fencingTokenOf(machine), machine.incarnation,
@@ -200,7 +200,7 @@
 void WorkerCommands::onNoAnswer(Machine& machine, const DirectCall& call, const wire::CallResult& result) {
   // A new token invalidates the commands as soon as the worker has seen it.
   if (result.sent && call.fencingToken == fencingTokenOf(machine)) issueFencingToken(machine);
-  machine.directCommands.nextAt = context_.now + constants::kWorkerCallTimeout;
+  machine.directCommands.nextSendAt = context_.now + constants::kWorkerCallTimeout;
   context_.event(Level::info, "command_unanswered",
                  {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
 }
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -19,13 +19,13 @@
 }
 
 void WorkerProber::sendTakeoverProbes() {
-  if (context_.now - state_.recordsLoadedAt < constants::kProbeUnheardDelay || !state_.holdsLeaderLease())
+  if (context_.now - state_.recordsLoadedAt < constants::kTakeoverProbeDelay || !state_.holdsLeaderLease())
     return;
   unsigned probesLeft =
       std::max(constants::kMinProbesPerTick, context_.settings.maxWorkerCalls() / kTakeoverProbeCallsDivisor);
   for (auto& [host, machine] : state_.machines.all()) {
-    if (machine.phase != MachinePhase::up || machine.sequence != 0 || machine.contact.takeoverProbeSent ||
-        machine.endpoint.empty())
+    if (machine.phase != MachinePhase::up || machine.lastHeartbeatSequence != 0 ||
+        machine.contact.takeoverProbeSent || machine.endpoint.empty())
       continue;
     if (probesLeft-- == 0 || !commands_.canStartCall()) return;
     machine.contact.takeoverProbeSent = true;
@@ -35,7 +35,7 @@
 
 void WorkerProber::probeRelayed() {
   std::size_t probed = 0;
-  const auto overdueAfter = state_.heartbeatTimeout(constants::kOverdueAfterHeartbeats, 0.5);
+  const auto overdueAfter = state_.heartbeatTimeout(constants::kOverdueHeartbeatIntervals, 0.5);
   for (auto& [host, machine] : state_.machines.all()) {
     if (probed == constants::kDirectProbeSamples || !commands_.canStartCall()) return;
     const bool isOnlyRelayed = context_.now - machine.contact.lastHeartbeatAt <= overdueAfter &&
--- a/src/service/partition_detector.cpp
+++ b/src/service/partition_detector.cpp
@@ -23,13 +23,13 @@
 
 PartitionDetector::MachineCounts PartitionDetector::countsOf(const Machine& machine, Time now) const {
   const auto overdueAfter =
-      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueAfterHeartbeats + 0.5);
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kOverdueHeartbeatIntervals + 0.5);
   MachineCounts counts;
   counts.up = 1;
   counts.overdue = now - machine.contact.lastHeartbeatAt > overdueAfter ? 1 : 0;
   counts.withoutDirectContact =
       counts.overdue != 0 || now - machine.contact.lastDirectContactAt > overdueAfter ? 1 : 0;
-  counts.reported = machine.sequence != 0 ? 1 : 0;
+  counts.reported = machine.lastHeartbeatSequence != 0 ? 1 : 0;
   return counts;
 }
 
@@ -67,7 +67,7 @@
   // interval. The zone still counts as partitioned for a while after that, because relays restore the contact
   // with its machines one by one.
   const auto rememberFor =
-      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatLimit);
+      wire::seconds(settings_.workers.heartbeatIntervalS * constants::kUnreachableHeartbeatIntervals);
   suspectedZones_.clear();
   for (const auto& [zone, counts] : countsByZone) {
     if (suggestsPartition(counts.overdue, counts.up)) partitionedUntil_[zone] = now + rememberFor;
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -57,7 +57,7 @@
     if (found == freeCpus_.end()) return taskCount;
     double fitting = std::floor(std::max(0.0, found->second) /
                                     std::max(job.spec.taskResources.vcpus, constants::kMinCpuDivisor) +
-                                constants::kResourceRounding);
+                                constants::kResourceTolerance);
     if (job.isGang() && fitting < taskCount) fitting = 0;
     fitting = std::min(fitting, taskCount);
     found->second -= fitting * job.spec.taskResources.vcpus;
@@ -85,7 +85,8 @@
 void addDemand(const jobs::Job& job, FreeTeamCpus& freeTeamCpus, UsageSnapshot& usage) {
   JobUsage& jobUsage = usage.jobs.at(job.spec.ref.text);
   GroupLoad& load = usage.loads[jobUsage.group];
-  const bool countsWaiting = !job.failures.jobAtFault() && isServable(job.spec.taskResources, usage.capacity);
+  const bool countsWaiting =
+      !job.failures.isJobAtFault() && isServable(job.spec.taskResources, usage.capacity);
   const double waiting = countsWaiting ? freeTeamCpus.take(job, job.waitingCount) : 0;
   const Resources demand = times(job.spec.taskResources, jobUsage.placedCount + waiting);
   load.demand += demand;
--- a/src/state/client.cpp
+++ b/src/state/client.cpp
@@ -49,7 +49,7 @@
                      : isLeading       ? constants::kLeaderBudgetShare
                                        : std::min(constants::kFollowerBudgetShare,
                                                   (1 - constants::kLeaderBudgetShare) / siblingCount)) *
-                    constants::kRateLimitUtilization);
+                    constants::kUsableRateShare);
 }
 
 void Client::transact(Time now, Urgency urgency, const Transaction& transaction, Done done) {
