--- a/src/admin/rpc/service.cpp
+++ b/src/admin/rpc/service.cpp
@@ -29,13 +29,13 @@
     case EditVerdict::changed:
     case EditVerdict::repeated:
       return grpc::Status::OK;
-    case EditVerdict::stale:
+    case EditVerdict::staleGeneration:
       return failure(StatusCode::ABORTED, result.problem);
     case EditVerdict::invalid:
       return failure(StatusCode::INVALID_ARGUMENT, result.problem);
-    case EditVerdict::absent:
+    case EditVerdict::tableAbsent:
       return failure(StatusCode::FAILED_PRECONDITION, result.problem);
-    case EditVerdict::damaged:
+    case EditVerdict::tableUndecodable:
       return failure(StatusCode::DATA_LOSS, result.problem);
     case EditVerdict::unavailable:
       return failure(StatusCode::UNAVAILABLE, result.problem);
--- a/src/admin/rpc/state_loop.cpp
+++ b/src/admin/rpc/state_loop.cpp
@@ -63,7 +63,7 @@
 
 void StateLoop::tickEdits(wire::Time now) {
   for (const auto& edit : edits_) edit->tick(now);
-  std::erase_if(edits_, [](const auto& edit) { return edit->finished(); });
+  std::erase_if(edits_, [](const auto& edit) { return edit->isFinished(); });
 }
 
 void StateLoop::sendCalls() {
--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -15,7 +15,7 @@
     case shares::ChangeVerdict::repeated:
       return EditVerdict::repeated;
     case shares::ChangeVerdict::staleGeneration:
-      return EditVerdict::stale;
+      return EditVerdict::staleGeneration;
     case shares::ChangeVerdict::invalid:
       return EditVerdict::invalid;
   }
@@ -43,7 +43,7 @@
 
 void ShareEdit::tick(Time now) {
   now_ = now;
-  if (finished()) return;
+  if (isFinished()) return;
   if (now >= deadline_) return finish(unavailableResult());
   if (state_ == State::waiting && now >= retryAt_) read();
 }
@@ -54,7 +54,7 @@
 }
 
 void ShareEdit::finish(const EditResult& result) {
-  if (finished()) return;
+  if (isFinished()) return;
   to(State::finished);
   done_(result);
 }
@@ -69,12 +69,13 @@
 
 void ShareEdit::onRead(const wire::CallResult& result) {
   if (result.status == http::kNotFound)
-    return finish({EditVerdict::absent, 0, {"table", "is not stored: shares are off"}});
+    return finish({EditVerdict::tableAbsent, 0, {"table", "is not stored: shares are off"}});
   const auto revision = wire::countField(result.body, "stamp");
   const wire::Json* value = wire::field(result.body, "value");
   if (!result.ok() || !revision || value == nullptr) return scheduleRetry();
   shares::Table table;
-  if (const auto problem = shares::decode(*value, table)) return finish({EditVerdict::damaged, 0, *problem});
+  if (const auto problem = shares::decode(*value, table))
+    return finish({EditVerdict::tableUndecodable, 0, *problem});
   const auto outcome = shares::apply(change_, settings_, table);
   if (outcome.verdict != shares::ChangeVerdict::changed)
     return finish({verdictOf(outcome.verdict), outcome.generation, outcome.problem});
--- a/src/admin/share_editor.hpp
+++ b/src/admin/share_editor.hpp
@@ -15,13 +15,13 @@
 
 // Outcome of a change of the table.
 enum class EditVerdict {
-  changed,      // written
-  repeated,     // this request id has been applied before; nothing was written
-  stale,        // the table's generation is not the expected one
-  invalid,      // the change or its result breaks the table's rules
-  absent,       // no table is stored: shares are off
-  damaged,      // the stored table can't be decoded
-  unavailable,  // no definite answer in time; the change may or may not have been applied
+  changed,           // written
+  repeated,          // this request id has been applied before; nothing was written
+  staleGeneration,   // the table's generation is not the expected one
+  invalid,           // the change or its result breaks the table's rules
+  tableAbsent,       // no table is stored: shares are off
+  tableUndecodable,  // the stored table can't be decoded
+  unavailable,       // no definite answer in time; the change may or may not have been applied
 };
 
 // What the operator is told of a change.
@@ -43,15 +43,15 @@
   using Done = std::function<void(const EditResult&)>;
 
   // client and settings must outlive the edit. done is called exactly once if tick() is called until
-  // finished().
+  // isFinished().
   ShareEdit(state::Client& client, const config::Settings& settings, shares::Change change, Time deadline,
             Done done);
   // Begins the first attempt; to be called once.
   void start(Time now);
-  // Drives retries and the deadline; call periodically until finished().
+  // Drives retries and the deadline; call periodically until isFinished().
   void tick(Time now);
   // Whether the outcome has been reported.
-  bool finished() const { return state_ == State::finished; }
+  bool isFinished() const { return state_ == State::finished; }
 
  private:
   void to(State next) { state_ = next; }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -61,7 +61,7 @@
   now_ = std::max(now_, now);
 }
 
-std::size_t Client::pending(const PoolKey& pool) const {
+std::size_t Client::pendingInstances(const PoolKey& pool) const {
   std::size_t sum = 0;
   for (const auto& request : requests_)
     if (request->pool == pool) sum += request->count;
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -55,7 +55,7 @@
   // Sends what is due: releases, instance requests, and the periodic list and catalogue.
   void tick(Time now);
   // Instances requested in the pool whose request has no answer yet.
-  std::size_t pending(const PoolKey& pool) const;
+  std::size_t pendingInstances(const PoolKey& pool) const;
 
  private:
   struct InstanceRequest {
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -124,7 +124,7 @@
 std::map<cloud::PoolKey, std::size_t> Autoscaler::pendingByPool() const {
   std::map<cloud::PoolKey, std::size_t> pending;
   for (const fleet::PoolOffer& offer : fleet::offeredPools(*context_.catalog))
-    if (const std::size_t count = cloud_.pending(offer.key); count > 0) pending[offer.key] = count;
+    if (const std::size_t count = cloud_.pendingInstances(offer.key); count > 0) pending[offer.key] = count;
   return pending;
 }
 
