--- a/deploy/shares-lakeshore.hcl
+++ b/deploy/shares-lakeshore.hcl
@@ -1,9 +1,10 @@
-# Shares for Lakeshore Order Desk: turned on with --operators deploy/shares-lakeshore.hcl.
-# order-gateway is of priority prod and ranks above shares; what remains is divided among the rest.
+# Fair shares for Lakeshore Order Desk, enabled with --operators deploy/shares-lakeshore.hcl.
+# order-gateway has priority prod, which takes precedence over shares. The capacity that it leaves is divided
+# among all other work.
 shares {
-  generation   = 1    # raise it to replace the stored table by this one
-  reclaim_step = 0.1  # of the machines, at once
-  others       = 1    # work that no group below holds
+  generation   = 1    # a higher number replaces the stored table by this one
+  reclaim_step = 0.1  # share of the machines that is reclaimed at once
+  others       = 1    # weight of all work that belongs to no group below
 
   group "class:fill-recon" { weight = 4 }
   group "class:commission-recalc" { weight = 1 }
--- a/src/admin/rpc/commands.cpp
+++ b/src/admin/rpc/commands.cpp
@@ -53,34 +53,35 @@
   return kFailure;
 }
 
-// 128 random bits in hex.
+// Returns 128 random bits in hexadecimal digits.
 std::string newRequestId() {
-  constexpr int kWords = 4;
-  std::random_device random;
-  std::ostringstream out;
-  for (int i = 0; i < kWords; ++i) out << std::hex << std::setw(8) << std::setfill('0') << random();
-  return out.str();
+  constexpr int kWords = 4;  // of 32 bits
+  std::random_device randomDevice;
+  std::ostringstream digits;
+  for (int i = 0; i < kWords; ++i) digits << std::hex << std::setw(8) << std::setfill('0') << randomDevice();
+  return digits.str();
 }
 
-// Parses GROUP=WEIGHT, where the group has no equals sign; false if malformed.
-bool parseShare(const std::string& text, v1::Share& out) {
-  const auto equals = text.rfind('=');
-  if (equals == std::string::npos || equals + 1 == text.size()) return false;
+// Parses GROUP=WEIGHT, split at the last equals sign. Returns false if the argument is malformed.
+bool parseShare(const std::string& argument, v1::Share& share) {
+  const auto equals = argument.rfind('=');
+  if (equals == std::string::npos || equals + 1 == argument.size()) return false;
   char* end = nullptr;
-  out.set_group(text.substr(0, equals));
-  out.set_weight(std::strtod(text.c_str() + equals + 1, &end));
+  share.set_group(argument.substr(0, equals));
+  share.set_weight(std::strtod(argument.c_str() + equals + 1, &end));
   return *end == '\0';
 }
 
-// False, with a line on standard error, if a share is malformed.
+// Fills the request from the options. If a share is malformed, reports it on standard error and returns
+// false.
 bool fillRequest(const SetOptions& change, v1::SetRequest& request) {
   request.set_request_id(change.requestId.empty() ? newRequestId() : change.requestId);
   if (change.expectedGeneration) request.set_expected_generation(*change.expectedGeneration);
   if (change.others) request.set_others(*change.others);
   request.set_replace(change.replace);
-  for (const std::string& text : change.shares) {
-    if (parseShare(text, *request.add_set())) continue;
-    std::cerr << "reachhoist-admin: invalid: " << text << " must be GROUP=WEIGHT\n";
+  for (const std::string& argument : change.shares) {
+    if (parseShare(argument, *request.add_set())) continue;
+    std::cerr << "reachhoist-admin: invalid: argument " << argument << " must have the form GROUP=WEIGHT\n";
     return false;
   }
   for (const std::string& group : change.remove) request.add_remove(group);
@@ -118,7 +119,7 @@
   v1::SetReply reply;
   const auto status = connect(options)->Set(&context, request, &reply);
   if (!status.ok()) {
-    // With this id the operator can repeat the request safely, even if it has been applied.
+    // The operator can repeat the request safely with this id, even if the request has been applied.
     std::cerr << "request_id=" << request.request_id() << "\n";
     return reportFailure(status);
   }
--- a/src/admin/rpc/daemon.cpp
+++ b/src/admin/rpc/daemon.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-constexpr std::chrono::seconds kShutdownGrace{1};  // for calls in flight
+constexpr std::chrono::seconds kShutdownGracePeriod{1};  // for calls in flight
 
-// To be called before any thread starts: threads inherit the mask, so that only sigwait() takes the signals.
+// Blocks SIGTERM and SIGINT and returns the set of both. Must be called before any thread starts, because
+// threads inherit the signal mask and only sigwait() should receive these signals.
 sigset_t blockTerminationSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -26,13 +27,13 @@
 
 }  // namespace
 
-bool isLocal(const std::string& address) {
-  constexpr std::uint32_t kLoopbackNet = 127;
-  constexpr unsigned kNetShift = 24;
+bool isLocalAddress(const std::string& address) {
+  constexpr std::uint32_t kLoopbackNetwork = 127;
+  constexpr unsigned kNetworkShiftBits = 24;
   if (address.starts_with("unix:") || address.starts_with("localhost:") || address.starts_with("[::1]:"))
     return true;
   net::Address parsed;
-  return net::Address::parse(address, parsed) && ntohl(parsed.ip) >> kNetShift == kLoopbackNet;
+  return net::Address::parse(address, parsed) && ntohl(parsed.ip) >> kNetworkShiftBits == kLoopbackNetwork;
 }
 
 int serve(const config::Settings& settings, const std::string& address) {
@@ -46,15 +47,16 @@
   builder.RegisterService(&service);
   const auto server = builder.BuildAndStart();
   if (!server) {
-    std::cerr << "reachhoist-admin: --listen can't be bound: " << address << "\n";
+    std::cerr << "reachhoist-admin: --listen: can't listen on " << address << "\n";
     return 1;
   }
   std::cerr << "event=admin_start listen=" << address << "\n";
   int signal = 0;
   sigwait(&signals, &signal);
-  server->Shutdown(std::chrono::system_clock::now() + kShutdownGrace);
+  server->Shutdown(std::chrono::system_clock::now() + kShutdownGracePeriod);
   std::cerr << "event=admin_stop\n";
-  // The thread of the StateLoop never ends by itself, and has nothing to save.
+  // The thread of the StateLoop never ends by itself and has no state to save, so the process exits without
+  // it.
   std::_Exit(0);
 }
 
--- a/src/admin/rpc/daemon.hpp
+++ b/src/admin/rpc/daemon.hpp
@@ -1,4 +1,4 @@
-// The admin daemon: serves operators' tools on loopback or a Unix socket.
+// The admin daemon. It serves the operators' tools on a loopback address or a Unix socket.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 
 namespace reachhoist::admin {
 
-// Whether the address can be reached from this host only: "unix:PATH", "127.x.x.x:PORT", "localhost:PORT" or
-// "[::1]:PORT".
-bool isLocal(const std::string& address);
+// Returns whether the address can be reached from this host only. Such addresses are "unix:PATH",
+// "127.x.x.x:PORT", "localhost:PORT" and "[::1]:PORT".
+bool isLocalAddress(const std::string& address);
 
-// Serves until SIGTERM or SIGINT, which end the process with status 0. Returns the exit status if the address
-// can't be bound.
+// Serves until SIGTERM or SIGINT ends the process with status 0. Returns, with the exit status, only if the
+// daemon can't listen on the address.
 int serve(const config::Settings& settings, const std::string& address);
 
 }  // namespace reachhoist::admin
--- a/src/admin/rpc/service.cpp
+++ b/src/admin/rpc/service.cpp
@@ -11,18 +11,20 @@
 using grpc::StatusCode;
 using std::chrono::system_clock;
 
-constexpr std::chrono::seconds kMaxDeadline{30};   // for callers with none, or a later one
-constexpr std::chrono::seconds kWatchInterval{1};  // between checks whether the caller has cancelled
+constexpr std::chrono::seconds kMaxCallDuration{30};     // limit for callers with no deadline or a later one
+constexpr std::chrono::seconds kCancelCheckInterval{1};  // how often a watch checks for cancellation
 
 StateLoop::Deadline deadlineOf(const grpc::ServerContext& context) {
-  return std::min<StateLoop::Deadline>(context.deadline(), system_clock::now() + kMaxDeadline);
+  return std::min<StateLoop::Deadline>(context.deadline(), system_clock::now() + kMaxCallDuration);
 }
 
-grpc::Status failure(StatusCode code, const config::FieldError& problem) {
+grpc::Status errorStatus(StatusCode code, const config::FieldError& problem) {
   return {code, problem.field + " " + problem.reason};
 }
 
-grpc::Status unavailable() { return {StatusCode::UNAVAILABLE, "the state service gave no answer in time"}; }
+grpc::Status unavailableStatus() {
+  return {StatusCode::UNAVAILABLE, "the key-value store gave no answer in time"};
+}
 
 grpc::Status toGrpcStatus(const EditResult& result) {
   switch (result.verdict) {
@@ -30,47 +32,48 @@
     case EditVerdict::repeated:
       return grpc::Status::OK;
     case EditVerdict::staleGeneration:
-      return failure(StatusCode::ABORTED, result.problem);
+      return errorStatus(StatusCode::ABORTED, result.problem);
     case EditVerdict::invalid:
-      return failure(StatusCode::INVALID_ARGUMENT, result.problem);
+      return errorStatus(StatusCode::INVALID_ARGUMENT, result.problem);
     case EditVerdict::tableAbsent:
-      return failure(StatusCode::FAILED_PRECONDITION, result.problem);
+      return errorStatus(StatusCode::FAILED_PRECONDITION, result.problem);
     case EditVerdict::tableUndecodable:
-      return failure(StatusCode::DATA_LOSS, result.problem);
+      return errorStatus(StatusCode::DATA_LOSS, result.problem);
     case EditVerdict::unavailable:
-      return failure(StatusCode::UNAVAILABLE, result.problem);
+      return errorStatus(StatusCode::UNAVAILABLE, result.problem);
   }
-  return {StatusCode::INTERNAL, "unknown verdict"};
+  return {StatusCode::INTERNAL, "the verdict of the change is unknown"};
 }
 
-// Nothing, or what is wrong with the request.
-std::optional<config::FieldError> toChange(const v1::SetRequest& request, shares::Change& out) {
-  const auto badGroup = [](const std::string& text) {
-    return config::FieldError{"group " + text, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
+// Converts the request to a change. Returns the first error in the request, if it has one.
+std::optional<config::FieldError> toChange(const v1::SetRequest& request, shares::Change& change) {
+  const auto invalidGroup = [](const std::string& name) {
+    return config::FieldError{"group " + name, "must be like team:NAME, class:NAME or team:NAME/class:NAME"};
   };
-  out.requestId = request.request_id();
-  if (request.has_expected_generation()) out.expectedGeneration = request.expected_generation();
-  if (request.has_others()) out.othersWeight = request.others();
-  out.replace = request.replace();
+  change.requestId = request.request_id();
+  if (request.has_expected_generation()) change.expectedGeneration = request.expected_generation();
+  if (request.has_others()) change.othersWeight = request.others();
+  change.replace = request.replace();
   for (const v1::Share& share : request.set()) {
     const auto group = shares::parseGroup(share.group());
-    if (!group) return badGroup(share.group());
-    out.set.push_back(shares::Share{*group, share.weight()});
+    if (!group) return invalidGroup(share.group());
+    change.set.push_back(shares::Share{*group, share.weight()});
   }
-  for (const std::string& text : request.remove()) {
-    const auto group = shares::parseGroup(text);
-    if (!group) return badGroup(text);
-    out.remove.push_back(*group);
+  for (const std::string& name : request.remove()) {
+    const auto group = shares::parseGroup(name);
+    if (!group) return invalidGroup(name);
+    change.remove.push_back(*group);
   }
   return std::nullopt;
 }
 
-void fillGroups(const wire::Json& record, v1::StatusReply& out) {
-  out.set_reported_generation(wire::countField(record, "generation").value_or(0));
+// Copies the stored status record into the reply.
+void fillGroups(const wire::Json& record, v1::StatusReply& reply) {
+  reply.set_reported_generation(wire::countField(record, "generation").value_or(0));
   const wire::Json* groups = wire::field(record, "groups");
   if (groups == nullptr || !groups->is_array()) return;
   for (const wire::Json& entry : *groups) {
-    v1::GroupStatus* group = out.add_groups();
+    v1::GroupStatus* group = reply.add_groups();
     group->set_group(wire::textField(entry, "group").value_or(""));
     group->set_entitled(wire::amountField(entry, "entitled").value_or(0));
     group->set_running(wire::amountField(entry, "running").value_or(0));
@@ -81,23 +84,24 @@
 
 }  // namespace
 
-grpc::Status SharesService::readTable(StateLoop::Deadline deadline, shares::Table& out) {
+grpc::Status SharesService::readTable(StateLoop::Deadline deadline, shares::Table& table) {
   const auto result = loop_.get(shares::kTableKey, deadline);
   if (result && result->status == http::kNotFound)
-    return {StatusCode::FAILED_PRECONDITION, "table is not stored: shares are off"};
+    return {StatusCode::FAILED_PRECONDITION, "table is not stored, because fair shares are disabled"};
   const wire::Json* value = result ? wire::field(result->body, "value") : nullptr;
-  if (!result || !result->ok() || value == nullptr) return unavailable();
-  if (const auto problem = shares::decode(*value, out)) return failure(StatusCode::DATA_LOSS, *problem);
+  if (!result || !result->ok() || value == nullptr) return unavailableStatus();
+  if (const auto problem = shares::decode(*value, table)) return errorStatus(StatusCode::DATA_LOSS, *problem);
   return grpc::Status::OK;
 }
 
-grpc::Status SharesService::readStatus(StateLoop::Deadline deadline, v1::StatusReply& out) {
+grpc::Status SharesService::readStatus(StateLoop::Deadline deadline, v1::StatusReply& reply) {
   shares::Table table;
   if (auto status = readTable(deadline, table); !status.ok()) return status;
-  out.set_generation(table.generation);
+  reply.set_generation(table.generation);
   const auto result = loop_.get(shares::kStatusKey, deadline);
-  if (!result || (!result->ok() && result->status != http::kNotFound)) return unavailable();
-  if (const wire::Json* value = wire::field(result->body, "value"); value != nullptr) fillGroups(*value, out);
+  if (!result || (!result->ok() && result->status != http::kNotFound)) return unavailableStatus();
+  if (const wire::Json* value = wire::field(result->body, "value"); value != nullptr)
+    fillGroups(*value, reply);
   return grpc::Status::OK;
 }
 
@@ -107,9 +111,9 @@
   reply->set_generation(table.generation);
   reply->set_others(table.othersWeight);
   for (const shares::Share& share : table.shares) {
-    v1::Share* out = reply->add_shares();
-    out->set_group(share.group.str());
-    out->set_weight(share.weight);
+    v1::Share* entry = reply->add_shares();
+    entry->set_group(share.group.str());
+    entry->set_weight(share.weight);
   }
   return grpc::Status::OK;
 }
@@ -117,7 +121,8 @@
 grpc::Status SharesService::Set(grpc::ServerContext* context, const v1::SetRequest* request,
                                 v1::SetReply* reply) {
   shares::Change change;
-  if (const auto problem = toChange(*request, change)) return failure(StatusCode::INVALID_ARGUMENT, *problem);
+  if (const auto problem = toChange(*request, change))
+    return errorStatus(StatusCode::INVALID_ARGUMENT, *problem);
   const EditResult result = loop_.edit(std::move(change), deadlineOf(*context));
   reply->set_generation(result.generation);
   reply->set_repeated(result.verdict == EditVerdict::repeated);
@@ -131,12 +136,12 @@
 
 grpc::Status SharesService::Watch(grpc::ServerContext* context, const v1::StatusRequest*,
                                   grpc::ServerWriter<v1::StatusReply>* writer) {
-  std::uint64_t seen = 0;
+  std::uint64_t seenChanges = 0;
   for (bool first = true; !context->IsCancelled() && system_clock::now() < context->deadline();) {
-    if (!loop_.awaitStatus(seen, system_clock::now() + kWatchInterval) && !first) continue;
+    if (!loop_.awaitStatusChange(seenChanges, system_clock::now() + kCancelCheckInterval) && !first) continue;
     first = false;
     v1::StatusReply reply;
-    auto status = readStatus(system_clock::now() + kMaxDeadline, reply);
+    auto status = readStatus(system_clock::now() + kMaxCallDuration, reply);
     if (!status.ok()) return status;
     if (!writer->Write(reply)) break;
   }
--- a/src/admin/rpc/service.hpp
+++ b/src/admin/rpc/service.hpp
@@ -6,10 +6,11 @@
 
 namespace reachhoist::admin {
 
-// Its methods run in threads of the gRPC server and wait for the StateLoop. Deadlines are wall time.
+// The methods run in threads of the gRPC server and block until the StateLoop answers. Deadlines are
+// wall-clock times.
 class SharesService final : public v1::Shares::Service {
  public:
-  // loop: must be started, and outlive the service.
+  // `loop` must already be started and must outlive the service.
   explicit SharesService(StateLoop& loop) : loop_(loop) {}
 
   grpc::Status Get(grpc::ServerContext* context, const v1::GetRequest* request, v1::Table* reply) override;
@@ -20,8 +21,8 @@
                      grpc::ServerWriter<v1::StatusReply>* writer) override;
 
  private:
-  grpc::Status readTable(StateLoop::Deadline deadline, shares::Table& out);
-  grpc::Status readStatus(StateLoop::Deadline deadline, v1::StatusReply& out);
+  grpc::Status readTable(StateLoop::Deadline deadline, shares::Table& table);
+  grpc::Status readStatus(StateLoop::Deadline deadline, v1::StatusReply& reply);
 
   StateLoop& loop_;
 };
--- a/src/admin/rpc/state_loop.cpp
+++ b/src/admin/rpc/state_loop.cpp
@@ -20,7 +20,7 @@
       client_(calls_, settings, constants::kAdminBudgetShare),
       statusWatch_(client_, shares::kStatusKey, [this](const wire::Json*, std::uint64_t) {
         const std::lock_guard lock(mutex_);
-        ++statusChanges_;
+        ++statusChangeCount_;
         statusChanged_.notify_all();
       }) {}
 
@@ -30,7 +30,7 @@
 
 void StateLoop::run() {
   statusWatch_.start(reactor_.now());
-  net::spawn(iterate());
+  net::spawn(runLoop());
   reactor_.run();
 }
 
@@ -39,7 +39,7 @@
   postedActions_.push_back(std::move(action));
 }
 
-net::Task<void> StateLoop::iterate() {
+net::Task<void> StateLoop::runLoop() {
   for (;;) {
     runPostedActions();
     const auto now = reactor_.now();
@@ -54,7 +54,7 @@
 void StateLoop::runPostedActions() {
   std::vector<std::function<void()>> actions;
   {
-    // Not held while the actions run, so that other threads can post meanwhile.
+    // The lock is released before the actions run, so that other threads can post more actions meanwhile.
     const std::lock_guard lock(mutex_);
     actions = std::exchange(postedActions_, {});
   }
@@ -104,10 +104,11 @@
   return future.get();
 }
 
-bool StateLoop::awaitStatus(std::uint64_t& seen, Deadline deadline) {
+bool StateLoop::awaitStatusChange(std::uint64_t& seenChanges, Deadline deadline) {
   std::unique_lock lock(mutex_);
-  if (!statusChanged_.wait_until(lock, deadline, [&] { return statusChanges_ != seen; })) return false;
-  seen = statusChanges_;
+  if (!statusChanged_.wait_until(lock, deadline, [&] { return statusChangeCount_ != seenChanges; }))
+    return false;
+  seenChanges = statusChangeCount_;
   return true;
 }
 
--- a/src/admin/rpc/state_loop.hpp
+++ b/src/admin/rpc/state_loop.hpp
@@ -1,4 +1,4 @@
-// The thread that talks to the key-value store; the threads of the gRPC server hand their work to it.
+// The thread that calls the key-value store. The threads of the gRPC server pass their requests to it.
 #pragma once
 
 #include <condition_variable>
@@ -14,31 +14,31 @@
 
 namespace reachhoist::admin {
 
-// An event loop with a rate-limited client of the key-value store. get(), edit() and awaitStatus() may be
-// called from any thread and block; all else runs in the loop's thread.
+// An event loop with a rate-limited client of the key-value store. get(), edit() and awaitStatusChange()
+// block and can be called from any thread. Everything else runs in the loop's thread.
 class StateLoop {
  public:
-  using Deadline = std::chrono::system_clock::time_point;  // wall time, as gRPC has it
+  using Deadline = std::chrono::system_clock::time_point;  // wall-clock time, as in gRPC
 
-  // settings: must outlive the loop.
+  // `settings` must outlive the loop.
   explicit StateLoop(const config::Settings& settings);
   StateLoop(const StateLoop&) = delete;
-  // Starts the thread, which runs until the process ends; so the loop must never be destroyed after this.
+  // Starts the thread. The thread runs until the process ends, so the loop must not be destroyed after this.
   void start();
 
-  // Reads one key; nothing if there is no answer by the deadline.
+  // Reads one key. Returns an empty result if the store gives no answer by the deadline.
   std::optional<wire::CallResult> get(const std::string& key, Deadline deadline);
-  // Changes the table of shares; the verdict is `unavailable` if there is no answer by the deadline.
+  // Changes the fair-share table. The verdict is `unavailable` if the store gives no answer by the deadline.
   EditResult edit(shares::Change change, Deadline deadline);
-  // Waits until the status record has changed more often than `seen` says, and updates `seen`; false if it
-  // has not by the deadline.
-  bool awaitStatus(std::uint64_t& seen, Deadline deadline);
+  // Waits until the number of changes of the status record differs from `seenChanges`, and then updates
+  // `seenChanges`. Returns false if the record has not changed by the deadline.
+  bool awaitStatusChange(std::uint64_t& seenChanges, Deadline deadline);
 
  private:
-  // Has the loop's thread run the action; may be called from any thread.
+  // Queues the action for the loop's thread. Can be called from any thread.
   void post(std::function<void()> action);
   [[noreturn]] void run();
-  net::Task<void> iterate();
+  net::Task<void> runLoop();
   void runPostedActions();
   void tickEdits(wire::Time now);
   net::Task<void> executeCall(wire::Call call);
@@ -55,7 +55,7 @@
   std::mutex mutex_;  // guards the members below
   std::condition_variable statusChanged_;
   std::vector<std::function<void()>> postedActions_;
-  std::uint64_t statusChanges_ = 0;  // number of changes of the status record seen so far
+  std::uint64_t statusChangeCount_ = 0;  // changes of the status record so far
 };
 
 }  // namespace reachhoist::admin
--- a/src/admin/share_editor.cpp
+++ b/src/admin/share_editor.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 EditResult unavailableResult() {
-  return {EditVerdict::unavailable, 0, {"state service", "gave no definite answer in time"}};
+  return {EditVerdict::unavailable, 0, {"key-value store", "gave no definite answer in time"}};
 }
 
 ShareEdit::ShareEdit(state::Client& client, const config::Settings& settings, shares::Change change,
@@ -50,17 +50,17 @@
 
 void ShareEdit::scheduleRetry() {
   retryAt_ = now_ + constants::kStateBackoff;
-  to(State::waiting);
+  setState(State::waiting);
 }
 
 void ShareEdit::finish(const EditResult& result) {
   if (isFinished()) return;
-  to(State::finished);
+  setState(State::finished);
   done_(result);
 }
 
 void ShareEdit::read() {
-  to(State::reading);
+  setState(State::reading);
   client_.get(now_, state::Urgency::background, shares::kTableKey,
               [self = shared_from_this()](const wire::CallResult& result) {
                 if (self->state_ == State::reading) self->onRead(result);
@@ -69,7 +69,8 @@
 
 void ShareEdit::onRead(const wire::CallResult& result) {
   if (result.status == http::kNotFound)
-    return finish({EditVerdict::tableAbsent, 0, {"table", "is not stored: shares are off"}});
+    return finish(
+        {EditVerdict::tableAbsent, 0, {"table", "is not stored, because fair shares are disabled"}});
   const auto revision = wire::countField(result.body, "stamp");
   const wire::Json* value = wire::field(result.body, "value");
   if (!result.ok() || !revision || value == nullptr) return scheduleRetry();
@@ -83,7 +84,7 @@
 }
 
 void ShareEdit::write(const shares::Table& table, std::uint64_t revision) {
-  to(State::writing);
+  setState(State::writing);
   state::Transaction transaction;
   transaction.conditions.push_back({shares::kTableKey, revision});
   transaction.writes.push_back({shares::kTableKey, shares::encode(table), std::nullopt});
@@ -96,8 +97,8 @@
 
 void ShareEdit::onWritten(const wire::CallResult& result, std::uint64_t generation) {
   if (result.ok()) return finish({EditVerdict::changed, generation, {}});
-  // The write lost a race, or its outcome is unknown. The next read tells which: the stored table names the
-  // requests that have been applied.
+  // The write lost a race against another one, or its outcome is unknown. The next read shows which, because
+  // the stored table lists the ids of the applied requests.
   scheduleRetry();
 }
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// reachhoist: runs a controller, or checks a settings file.
+// reachhoist: runs a controller or checks a settings file.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -17,11 +17,12 @@
 
 constexpr const char* kVersion = "reachhoist " REACHHOIST_VERSION;
 
-// Exit statuses.
+// Exit statuses of the process.
 constexpr int kSuccess = 0;
 constexpr int kFailure = 1;
 constexpr int kUsageError = 2;
 
+// The command line. A path is empty if its flag is not given.
 struct Options {
   std::string platformPath;   // --config
   std::string operatorsPath;  // --operators
@@ -30,16 +31,18 @@
 
 void addOptions(CLI::App& app, Options& options) {
   app.set_version_flag("--version", kVersion);
-  auto* run = app.add_option("--config", options.platformPath,
-                             "settings file of the platform (JSON); runs the service");
-  auto* check = app.add_option("--check", options.checkPath, "checks a settings file and exits");
-  app.add_option("--operators", options.operatorsPath, "operators' own settings (HCL blocks)");
-  run->excludes(check);
+  auto* config = app.add_option("--config", options.platformPath,
+                                "runs a controller with this settings file of the platform (JSON)");
+  auto* check = app.add_option("--check", options.checkPath,
+                               "checks this settings file of the platform (JSON) and exits");
+  app.add_option("--operators", options.operatorsPath, "settings file of the operators (HCL blocks)");
+  config->excludes(check);
 }
 
-std::optional<FieldError> loadSettings(const std::string& path, const std::string& operatorsPath,
+// Loads both settings files and validates the fair-share table in them. Returns the first error, if any.
+std::optional<FieldError> loadSettings(const std::string& platformPath, const std::string& operatorsPath,
                                        Settings& settings) {
-  if (auto problem = reachhoist::config::loadPlatform(path, settings)) return problem;
+  if (auto problem = reachhoist::config::loadPlatform(platformPath, settings)) return problem;
   if (!operatorsPath.empty()) {
     if (auto problem = reachhoist::config::loadOperators(operatorsPath, settings)) return problem;
   }
@@ -49,8 +52,8 @@
 }
 
 Level levelFromEnvironment() {
-  const char* text = std::getenv("LOG_LEVEL");
-  const std::string level = text != nullptr ? text : "info";
+  const char* variable = std::getenv("LOG_LEVEL");
+  const std::string level = variable != nullptr ? variable : "info";
   if (level == "error") return Level::error;
   if (level == "debug") return Level::debug;
   return Level::info;
@@ -68,14 +71,16 @@
   return spdlog::level::info;
 }
 
-// Serves until the process is ended; the exit status if it can't.
+// Serves until a signal ends the process. Returns, with the exit status, only if the controller can't run.
 int serve(const Settings& settings) {
   const Level level = levelFromEnvironment();
   spdlog::logger logger("reachhoist", std::make_shared<spdlog::sinks::stderr_sink_st>());
   logger.set_level(toSpdlog(level));
   logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
   logger.flush_on(spdlog::level::debug);
-  const auto sink = [&logger](Level of, const std::string& line) { logger.log(toSpdlog(of), line); };
+  const auto sink = [&logger](Level lineLevel, const std::string& line) {
+    logger.log(toSpdlog(lineLevel), line);
+  };
   reachhoist::service::Runtime runtime(settings, level, sink);
   const FieldError problem = runtime.run();
   std::cerr << "reachhoist: " << problem.field << ": " << problem.reason << "\n";
@@ -85,14 +90,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"reachhoist: a cluster scheduler that sizes its machine pools by learned, clamped steps"};
+  CLI::App app{"reachhoist: a cluster scheduler that scales its machine pools in learned, bounded steps"};
   Options options;
   addOptions(app, options);
   CLI11_PARSE(app, argc, argv);
   const bool checkOnly = !options.checkPath.empty();
   const std::string& path = checkOnly ? options.checkPath : options.platformPath;
   if (path.empty()) {
-    std::cerr << "reachhoist: --config or --check is needed; see --help\n";
+    std::cerr << "reachhoist: one of --config and --check is required; see --help\n";
     return kUsageError;
   }
   Settings settings;
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -7,10 +7,13 @@
 namespace reachhoist::cloud {
 
 namespace {
-constexpr double kRateShare = 0.8;  // of the cloud's rate limit; siblings fetch the catalogue when they start
-constexpr std::chrono::milliseconds kRetryPause{1000};  // after an outage or a refusal by the rate limit
-constexpr int kMaxRefusals =
-    2;  // after one refusal for lack of capacity the same request may be sent once more
+// The client uses this share of the cloud's rate limit. The rest is left for the other controllers, which
+// read the catalogue when they start.
+constexpr double kRateLimitShare = 0.8;
+// A call is retried this long after the cloud failed to answer or the rate limit refused the call.
+constexpr std::chrono::milliseconds kRetryDelay{1000};
+// An instance request ends at this many refusals for lack of capacity. It is sent once more after the first.
+constexpr int kMaxRefusals = 2;
 
 std::vector<std::string> decodeHosts(const wire::CallResult& result) {
   std::vector<std::string> hosts;
@@ -28,11 +31,12 @@
       settings_(settings),
       incarnationName_(std::move(incarnationName)),
       handlers_(std::move(handlers)),
-      budget_(settings.cloudLimits.requestsPerS * kRateShare, settings.cloudLimits.requestsPerS) {}
+      requestBudget_(settings.cloudLimits.requestsPerS * kRateLimitShare, settings.cloudLimits.requestsPerS) {
+}
 
-bool Client::call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done) {
-  if (!budget_.affords(now, 1)) return false;
-  budget_.take(now, 1);
+bool Client::tryCall(Time now, const char* method, std::string path, Json body, wire::Calls::Done done) {
+  if (!requestBudget_.affords(now, 1)) return false;
+  requestBudget_.take(now, 1);
   wire::Call call;
   call.service = wire::Service::cloud;
   call.endpoint = settings_.endpoints.cloud;
@@ -57,47 +61,47 @@
 }
 
 void Client::release(Time now, const std::string& host) {
-  releases_.insert(host);
+  hostsToRelease_.insert(host);
   now_ = std::max(now_, now);
 }
 
 std::size_t Client::pendingInstances(const PoolKey& pool) const {
-  std::size_t sum = 0;
+  std::size_t count = 0;
   for (const auto& request : requests_)
-    if (request->pool == pool) sum += request->count;
-  return sum;
+    if (request->pool == pool) count += request->count;
+  return count;
 }
 
 void Client::tick(Time now) {
   now_ = now;
-  if (!releases_.empty() && !releaseInFlight_ && now >= nextRelease_) sendReleases(now);
-  const auto requests = requests_;  // a copy: an answer removes its request
+  if (!hostsToRelease_.empty() && !releaseInFlight_ && now >= nextReleaseAt_) sendReleases(now);
+  const auto requests = requests_;  // a copy, because an answer removes its request from requests_
   for (const auto& request : requests)
-    if (!request->inFlight && now >= request->notBefore) sendInstanceRequest(now, request);
-  if (!catalogInFlight_ && now >= nextCatalog_) sendCatalog(now);
-  if (!listInFlight_ && now >= nextList_) sendList(now);
+    if (!request->inFlight && now >= request->retryAt) sendInstanceRequest(now, request);
+  if (!catalogInFlight_ && now >= nextCatalogAt_) requestCatalog(now);
+  if (!listInFlight_ && now >= nextListAt_) requestListPage(now);
 }
 
 void Client::sendInstanceRequest(Time now, const std::shared_ptr<InstanceRequest>& request) {
   request->inFlight =
-      call(now, "POST", "/hosts",
-           Json{{"hire", request->name},
-                {"rig", request->pool.machineType},
-                {"yard", request->pool.zone},
-                {"loaners", request->pool.spot},
-                {"number", request->count}},
-           [this, request](const wire::CallResult& result) { onInstanceResponse(request, result); });
+      tryCall(now, "POST", "/hosts",
+              Json{{"hire", request->name},
+                   {"rig", request->pool.machineType},
+                   {"yard", request->pool.zone},
+                   {"loaners", request->pool.spot},
+                   {"number", request->count}},
+              [this, request](const wire::CallResult& result) { onInstanceResponse(request, result); });
   request->sent = request->sent || request->inFlight;
 }
 
 void Client::dropUnsent(const PoolKey& pool) {
-  std::size_t count = 0;
+  std::size_t droppedInstances = 0;
   std::erase_if(requests_, [&](const auto& request) {
     if (request->sent || request->pool != pool) return false;
-    count += request->count;
+    droppedInstances += request->count;
     return true;
   });
-  if (count > 0) handlers_.provisioned(pool, {}, count);
+  if (droppedInstances > 0) handlers_.provisioned(pool, {}, droppedInstances);
 }
 
 void Client::finish(const std::shared_ptr<InstanceRequest>& request, const std::vector<std::string>& hosts) {
@@ -115,66 +119,68 @@
       result.status == http::kServiceUnavailable && wire::textField(result.body, "error") == "no capacity";
   if (noCapacity && ++request->refusals >= kMaxRefusals) return finish(request, {});
   if (result.status == http::kBadRequest) return finish(request, {});
-  // Without an answer the instances may have been provisioned: only repeating the request tells.
-  request->notBefore = now_ + kRetryPause;
+  // The cloud may have provisioned the instances although no answer came. Only the answer to a repeated
+  // request shows whether it did.
+  request->retryAt = now_ + kRetryDelay;
 }
 
 void Client::sendReleases(Time now) {
   std::vector<std::string> batch;
-  for (const std::string& host : releases_) {
+  for (const std::string& host : hostsToRelease_) {
     if (batch.size() == constants::kMaxReleasesPerRequest) break;
     batch.push_back(host);
   }
-  releaseInFlight_ = call(now, "POST", "/hosts/return", Json{{"hosts", batch}},
-                          [this, batch](const wire::CallResult& result) { onReleased(batch, result); });
+  releaseInFlight_ = tryCall(now, "POST", "/hosts/return", Json{{"hosts", batch}},
+                             [this, batch](const wire::CallResult& result) { onReleased(batch, result); });
 }
 
 void Client::onReleased(const std::vector<std::string>& batch, const wire::CallResult& result) {
   releaseInFlight_ = false;
   if (!result.ok()) {
-    nextRelease_ = now_ + kRetryPause;
+    nextReleaseAt_ = now_ + kRetryDelay;
     return;
   }
-  for (const std::string& host : batch) releases_.erase(host);
+  for (const std::string& host : batch) hostsToRelease_.erase(host);
   handlers_.released(batch);
 }
 
-void Client::sendList(Time now) {
-  listInFlight_ = call(
-      now, "GET", "/hosts?after=" + listAfter_ + "&limit=" + std::to_string(constants::kInstanceListPageSize),
-      {}, [this](const wire::CallResult& result) { onListPage(result); });
+void Client::requestListPage(Time now) {
+  listInFlight_ = tryCall(
+      now, "GET",
+      "/hosts?after=" + lastListedHost_ + "&limit=" + std::to_string(constants::kInstanceListPageSize), {},
+      [this](const wire::CallResult& result) { onListPage(result); });
 }
 
 void Client::onListPage(const wire::CallResult& result) {
   listInFlight_ = false;
   const Json* hosts = wire::field(result.body, "hosts");
   if (!result.ok() || hosts == nullptr || !hosts->is_array()) {
-    nextList_ = now_ + kRetryPause;
-    listAfter_.clear();
-    listedSoFar_.clear();
+    nextListAt_ = now_ + kRetryDelay;
+    lastListedHost_.clear();
+    listedInstances_.clear();
     return;
   }
   for (const Json& entry : *hosts) {
     if (auto instance = wire::decodeInstance(entry)) {
-      listAfter_ = instance->host.text;
-      listedSoFar_.push_back(std::move(*instance));
+      lastListedHost_ = instance->host.text;
+      listedInstances_.push_back(std::move(*instance));
     }
   }
   if (wire::flagField(result.body, "more").value_or(false) && !hosts->empty()) {
-    nextList_ = now_;
+    nextListAt_ = now_;
     return;
   }
-  nextList_ = now_ + constants::kInstanceListInterval;
-  listAfter_.clear();
-  handlers_.listed(std::exchange(listedSoFar_, {}));
+  nextListAt_ = now_ + constants::kInstanceListInterval;
+  lastListedHost_.clear();
+  handlers_.listed(std::exchange(listedInstances_, {}));
 }
 
-void Client::sendCatalog(Time now) {
-  catalogInFlight_ = call(now, "GET", "/catalog", {}, [this](const wire::CallResult& result) {
+void Client::requestCatalog(Time now) {
+  catalogInFlight_ = tryCall(now, "GET", "/catalog", {}, [this](const wire::CallResult& result) {
     catalogInFlight_ = false;
     auto catalog = result.ok() ? wire::decodeCatalog(result.body)
                                : wire::Result<std::vector<wire::MachineType>>::failure("no answer");
-    nextCatalog_ = now_ + (catalog ? constants::kCatalogInterval : constants::kCatalogRetryInterval);
+    nextCatalogAt_ = now_ + (catalog ? constants::kCatalogInterval : constants::kCatalogRetryInterval);
     if (catalog) handlers_.catalog(std::move(*catalog));
   });
 }
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,6 +1,6 @@
-// Client of the cloud's instance API: instance requests (scale-out), releases (scale-in), the instance list
-// and the catalogue, within the cloud's rate limit. An instance request is an idempotent request: it is
-// retried under its own name until its outcome is known.
+// Client of the cloud's instance API. It sends instance requests (scale-out) and releases (scale-in) and
+// reads the instance list and the catalogue, all within the cloud's rate limit. Each instance request has a
+// name that makes it idempotent, and the client retries it under that name until its outcome is known.
 #pragma once
 
 #include <memory>
@@ -22,39 +22,45 @@
   std::string zone;
   bool spot = false;
   auto operator<=>(const PoolKey&) const = default;
-  // For logs: "type/zone/spot" or "type/zone/ordinary".
+  // Returns the pool's name in logs: "type/zone/spot" or "type/zone/ordinary".
   std::string str() const { return machineType + "/" + zone + (spot ? "/spot" : "/ordinary"); }
 };
 
-// Used by one leader. Its callbacks run on the caller's thread, and none after the client is destroyed.
+// Each leader has its own client. The handlers run on the caller's thread, and none runs after the client is
+// destroyed.
 class Client {
  public:
-  // What the client reports back.
+  // Callbacks for what the client reports.
   struct Handlers {
-    // The outcome of an instance request: the hosts provisioned, and how many instances were refused (also
-    // for requests dropped unsent after the pool refused another).
+    // Receives the outcome of an instance request: the provisioned hosts and the number of refused instances.
+    // The instances of a request that was dropped unsent, after the cloud refused another one in the same
+    // pool, count as refused.
     std::function<void(const PoolKey& pool, const std::vector<std::string>& hosts, std::size_t refused)>
         provisioned;
-    // Hosts whose release the cloud confirmed: they are gone.
+    // Receives the hosts whose release the cloud has confirmed. These hosts no longer exist.
     std::function<void(const std::vector<std::string>& hosts)> released;
-    // A complete walk through the cloud's instance list, page by page.
+    // Receives the complete instance list, after all its pages have been read.
     std::function<void(const std::vector<wire::InstanceEntry>& hosts)> listed;
-    // A fresh catalogue of machine types, fetched at start and then every constants::kCatalogInterval.
+    // Receives the catalogue of machine types, which the client reads at start and then every
+    // constants::kCatalogInterval.
     std::function<void(std::vector<wire::MachineType> catalog)> catalog;
   };
 
-  // incarnationName: prefix of the names of all instance requests. No incarnation of any controller may ever
-  // use it again.
+  // `incarnationName` is the prefix of the names of all instance requests. It must be unique: no other
+  // incarnation of any controller ever uses the same prefix. `calls` and `settings` must outlive the client.
   Client(wire::Calls& calls, const config::Settings& settings, std::string incarnationName,
          Handlers handlers);
 
-  // Scales out by `count` instances of the pool, in requests of at most constants::kMaxInstancesPerRequest.
+  // Requests `count` instances in the pool, split into requests of at most
+  // constants::kMaxInstancesPerRequest.
   void requestInstances(Time now, const PoolKey& pool, std::size_t count);
-  // Releases the host (scale-in) at the next tick; retried until the cloud confirms.
+  // Releases the host (scale-in). The client sends the release at the next tick and retries it until the
+  // cloud confirms it.
   void release(Time now, const std::string& host);
-  // Sends what is due: releases, instance requests, and the periodic list and catalogue.
+  // Sends the calls that are due: releases, instance requests, and the periodic reads of the instance list
+  // and the catalogue.
   void tick(Time now);
-  // Instances requested in the pool whose request has no answer yet.
+  // Returns the number of instances in the pool that were requested and whose outcome is not known yet.
   std::size_t pendingInstances(const PoolKey& pool) const;
 
  private:
@@ -62,43 +68,44 @@
     std::string name;
     PoolKey pool;
     std::size_t count = 0;
-    int refusals = 0;   // for lack of capacity
-    bool sent = false;  // at least once: the cloud may know of it
-    Time notBefore{};   // of the next try
+    int refusals = 0;   // number of refusals for lack of capacity
+    bool sent = false;  // sent at least once, so that the cloud may have received it
+    Time retryAt{};     // earliest time of the next attempt
     bool inFlight = false;
   };
-  // Sends the call if the rate limit allows it now; false if not.
-  bool call(Time now, const char* method, std::string path, Json body, wire::Calls::Done done);
+  // Sends the call if the rate limit allows it now. Returns whether the call was sent.
+  bool tryCall(Time now, const char* method, std::string path, Json body, wire::Calls::Done done);
   void sendInstanceRequest(Time now, const std::shared_ptr<InstanceRequest>& request);
-  // Reports the request's outcome and removes it.
+  // Reports the outcome of the request and removes the request.
   void finish(const std::shared_ptr<InstanceRequest>& request, const std::vector<std::string>& hosts);
-  // Drops the pool's requests not sent yet: it has no capacity left, so that they would be refused as well.
+  // Drops the unsent requests for the pool. The pool has no capacity left, so the cloud would refuse them
+  // too.
   void dropUnsent(const PoolKey& pool);
   void onInstanceResponse(const std::shared_ptr<InstanceRequest>& request, const wire::CallResult& result);
   void sendReleases(Time now);
   void onReleased(const std::vector<std::string>& batch, const wire::CallResult& result);
-  void sendList(Time now);
-  // One page of the instance list; the last one completes the walk.
+  void requestListPage(Time now);
+  // Collects one page of the instance list, and reports the list after its last page.
   void onListPage(const wire::CallResult& result);
-  void sendCatalog(Time now);
+  void requestCatalog(Time now);
 
   wire::Calls& calls_;
   const config::Settings& settings_;
   std::string incarnationName_;
   Handlers handlers_;
-  state::TokenBucket budget_;
+  state::TokenBucket requestBudget_;
   Time now_{};
   std::uint64_t requestCount_ = 0;
   std::vector<std::shared_ptr<InstanceRequest>> requests_;
-  std::set<std::string> releases_;
+  std::set<std::string> hostsToRelease_;
   bool releaseInFlight_ = false;
-  Time nextRelease_{};
+  Time nextReleaseAt_{};
   bool listInFlight_ = false;
-  Time nextList_{};
-  std::string listAfter_;
-  std::vector<wire::InstanceEntry> listedSoFar_;
+  Time nextListAt_{};
+  std::string lastListedHost_;                        // the next page begins after this host
+  std::vector<wire::InstanceEntry> listedInstances_;  // of the pages read so far
   bool catalogInFlight_ = false;
-  Time nextCatalog_{};
+  Time nextCatalogAt_{};
   state::CallbackGuard guard_;
 };
 
