--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -58,7 +58,7 @@
 
 placement::PlacementPlan PlacementScheduler::plan() {
   placement::SchedulingInput input = schedulingInput();
-  shares_.prepare(input, mayPreemptForShares());
+  shares_.prepare(input, canPreemptForShares());
   if (input.waitingJobs.empty()) {
     unplacedDemand_.clear();
     return {};
@@ -78,7 +78,7 @@
 
 void PlacementScheduler::preempt(const std::vector<placement::Preemption>& preemptions) {
   for (const placement::Preemption& preemption : preemptions) {
-    Attempt* attemptNumber = preemption.machine->find(preemption.task, preemption.attemptNumber);
+    Attempt* attempt = preemption.machine->find(preemption.task, preemption.attemptNumber);
     if (attempt == nullptr) continue;
     context_.event(Level::info, "preempt",
                    {{"task", preemption.task.str()}, {"machine", preemption.machine->host.text}});
@@ -87,7 +87,7 @@
   }
 }
 
-bool PlacementScheduler::mayPreemptForShares() const {
+bool PlacementScheduler::canPreemptForShares() const {
   // Until the workers have sent heartbeats to a new leader, all tasks appear to have just started, and those
   // that an earlier leader has stopped appear to continue.
   return state_.firstHeartbeatWindowElapsed() && state_.holdsLeaderLease();
--- a/src/service/leader/placement_scheduler.hpp
+++ b/src/service/leader/placement_scheduler.hpp
@@ -48,7 +48,7 @@
   placement::SchedulingInput schedulingInput();
   void preempt(const std::vector<placement::Preemption>& preemptions);
   // Whether this leader can preempt tasks to enforce shares.
-  bool mayPreemptForShares() const;
+  bool canPreemptForShares() const;
   // Adds the gang tasks that did not fit into the batches of the round that planned them.
   void reserveRemainingGangTasks(Round& round);
   // Adds the gang task to the round, or releases it if it is no longer wanted. Returns false if the round's
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-void RoundShares::prepare(placement::SchedulingInput& input, bool mayPreemptForShares) {
+void RoundShares::prepare(placement::SchedulingInput& input, bool canPreemptForShares) {
   if (!context_.shares) return;
   generation_ = context_.shares->generation;
   input.shares = &*context_.shares;
--- a/src/service/leader/round_shares.hpp
+++ b/src/service/leader/round_shares.hpp
@@ -17,7 +17,7 @@
 
   // To be called before a round: sets the share table in `input`, and whether the round can preempt for
   // shares.
-  void prepare(placement::SchedulingInput& input, bool mayPreemptForShares);
+  void prepare(placement::SchedulingInput& input, bool canPreemptForShares);
   // To be called after the round: limits when the next round can preempt for shares.
   void onPlanned(const placement::PlacementPlan& plan);
   // Whether a share table is in force that no round has used yet.
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -139,7 +139,7 @@
       ++it;
       continue;
     }
-    if (due) sendDirectCommands(*machine);
+    if (isDue) sendDirectCommands(*machine);
     it = hostsAwaitingDirectCall_.erase(it);
   }
 }
