--- a/src/config/platform_file.cpp
+++ b/src/config/platform_file.cpp
@@ -59,7 +59,7 @@
     if (wire::field(value, "class") != nullptr) reader.text("class", objective.jobClass);
     reader.optionalAmount("within_s", objective.withinS);
     reader.optionalAmount("share", objective.share);
-    reader.optionalAmount("times", objective.times);
+    reader.optionalAmount("times", objective.deadlineFactor);
   }
 }
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -38,9 +38,9 @@
 struct Objective {
   std::string kind;  // "wait": until a job's start; "finished": until its end; "deadline": the job's own
   std::string jobClass;
-  double withinS = 0;  // seconds from acceptance; for "wait" and "finished"
-  double share = 0;    // of the jobs that shall meet it, 0..1
-  double times = 0;    // factor of the job's due time; for "deadline"
+  double withinS = 0;         // seconds from acceptance; for "wait" and "finished"
+  double share = 0;           // of the jobs that shall meet it, 0..1
+  double deadlineFactor = 0;  // factor of the job's due time; for "deadline"
 };
 
 // Heartbeats and leases of the workers, in seconds.
--- a/src/jobs/jobs.cpp
+++ b/src/jobs/jobs.cpp
@@ -147,7 +147,7 @@
   const Job* known = find(ref);
   if (known != nullptr && known->revision >= revision) return Change::none;
   const auto phase = wire::textField(value, "phase");
-  if (!phase || !wire::validJobRef(ref)) return Change::malformed;
+  if (!phase || !wire::isValidJobRef(ref)) return Change::malformed;
   if (*phase == name(JobPhase::accepted)) return applyOpen(ref, value, revision);
   if (*phase == name(JobPhase::done)) return applyFinal(ref, JobPhase::done, value, revision);
   if (*phase == name(JobPhase::cancelled)) return applyFinal(ref, JobPhase::cancelled, value, revision);
--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -45,7 +45,8 @@
       consider(objective.withinS - expectedRunTimeS * runs);
     } else if (objective.kind == "deadline" && job.spec.deadlineS) {
       due = true;
-      consider(*job.spec.deadlineS * (objective.times > 0 ? objective.times : 1) - expectedRunTimeS * runs);
+      consider(*job.spec.deadlineS * (objective.deadlineFactor > 0 ? objective.deadlineFactor : 1) -
+               expectedRunTimeS * runs);
     }
   }
   if (job.spec.deadlineS && !due) consider(*job.spec.deadlineS - expectedRunTimeS * runs);
--- a/src/service/job_api.cpp
+++ b/src/service/job_api.cpp
@@ -20,7 +20,7 @@
 // --- query -------------------------------------------------------------------------------------------------
 
 void JobApi::query(std::uint64_t request, const std::string& ref) {
-  if (!wire::validJobRef(ref)) return replyNoSuchJob(context_, request);
+  if (!wire::isValidJobRef(ref)) return replyNoSuchJob(context_, request);
   // A final stage never changes; anything else needs a read that begins after the request came.
   if (const jobs::Job* job = jobs_.find(ref); job != nullptr && !job->isOpen())
     return context_.reply(request, http::kOk, jobStatus(*job));
@@ -44,7 +44,7 @@
     return context_.replyError(request, http::kBadRequest, decoded ? "body is not a map" : decoded.reason());
   const std::string ref = wire::textField(*decoded, "ref").value_or("");
   auto spec = wire::decodeJob(*decoded);
-  if (!wire::validJobRef(ref)) return context_.replyError(request, http::kBadRequest, spec.reason());
+  if (!wire::isValidJobRef(ref)) return context_.replyError(request, http::kBadRequest, spec.reason());
   // An accepted job stays accepted, even if this body would be rejected now.
   if (jobs_.find(ref) != nullptr) return replyExisting(request, ref);
   if (!feed_.ready() || feed_.failing() || !context_.catalog) return context_.later(request);
@@ -65,7 +65,7 @@
 // --- abort -------------------------------------------------------------------------------------------------
 
 void JobApi::abort(std::uint64_t request, const std::string& ref) {
-  if (!wire::validJobRef(ref)) return replyNoSuchJob(context_, request);
+  if (!wire::isValidJobRef(ref)) return replyNoSuchJob(context_, request);
   tryAbort(Abort{request, ref, kMaxAbortAttempts});
 }
 
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -18,7 +18,7 @@
                                                  {JobStage::cancelled, "cancelled"}};
 }  // namespace
 
-bool validJobRef(std::string_view text) {
+bool isValidJobRef(std::string_view text) {
   if (!text.starts_with(kJobPrefix)) return false;
   text.remove_prefix(kJobPrefix.size());
   return !text.empty() && text.size() <= kMaxRefDigits &&
@@ -27,7 +27,7 @@
 
 std::optional<TaskId> parseTaskId(std::string_view text) {
   const auto slash = text.find('/');
-  if (slash == std::string_view::npos || !validJobRef(text.substr(0, slash))) return std::nullopt;
+  if (slash == std::string_view::npos || !isValidJobRef(text.substr(0, slash))) return std::nullopt;
   const auto digits = text.substr(slash + 1);
   TaskId id{JobRef{std::string(text.substr(0, slash))}, 0};
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), id.index);
--- a/src/wire/types.hpp
+++ b/src/wire/types.hpp
@@ -35,7 +35,7 @@
 // Parses the form that TaskId::str() writes. Returns nothing if the text does not have that form.
 std::optional<TaskId> parseTaskId(std::string_view text);
 // Returns whether the text has the form of a JobRef.
-bool validJobRef(std::string_view text);
+bool isValidJobRef(std::string_view text);
 
 // How the tasks of a job run. The tasks of an `array` are independent and end by themselves. The tasks of a
 // `service` run until the job is aborted. The tasks of a `gang`, which the wire calls `ensemble`, either all
