--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <sstream>
 
-#include "config/file.hpp"
+#include "config/read_file.hpp"
 #include "config/settings.hpp"
 
 namespace reachhoist::config {
--- a/src/config/platform_file.cpp
+++ b/src/config/platform_file.cpp
@@ -1,8 +1,8 @@
 // The platform's settings file (JSON).
 #include <algorithm>
 
-#include "config/file.hpp"
 #include "config/json_reader.hpp"
+#include "config/read_file.hpp"
 
 namespace reachhoist::config {
 
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -36,7 +36,7 @@
   }
 
   // Pools a connection to the endpoint. inUse: sockets the caller has open besides this one.
-  void keep(const std::string& endpoint, Connection connection, std::size_t inUse, Time now) {
+  void put(const std::string& endpoint, Connection connection, std::size_t inUse, Time now) {
     evictFor(inUse + 1);
     auto& entries = byEndpoint_[endpoint];
     entries.push_back(idle_.insert(idle_.end(), Entry{endpoint, std::move(connection), now}));
--- a/src/net/framed.cpp
+++ b/src/net/frames.cpp
@@ -1,4 +1,4 @@
-#include "net/framed.hpp"
+#include "net/frames.hpp"
 
 #include <array>
 #include <string_view>
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -84,7 +84,7 @@
   result.status = parser.message().status;
   result.retryAfterS = parser.message().retryAfterS;
   result.body = std::move(parser.message().body);
-  if (parser.message().keepAlive) pool_.keep(endpoint, std::move(socket), inUse_ - 1, reactor_.now());
+  if (parser.message().keepAlive) pool_.put(endpoint, std::move(socket), inUse_ - 1, reactor_.now());
   co_return result;
 }
 
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -165,10 +165,10 @@
 void Reactor::post(std::function<void()> action) { posted_.push_back(std::move(action)); }
 
 void Reactor::run() {
-  for (;;) turn(std::chrono::milliseconds::max());
+  for (;;) runOnce(std::chrono::milliseconds::max());
 }
 
-void Reactor::turn(std::chrono::milliseconds maxWait) {
+void Reactor::runOnce(std::chrono::milliseconds maxWait) {
   runPosted();
   runTimers();
   wakeSockets(maxWait);
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -95,7 +95,7 @@
   [[noreturn]] void run();
   // One turn of the loop: runs what is due, and then waits for socket events up to maxWait. For use within
   // another loop.
-  void turn(std::chrono::milliseconds maxWait);
+  void runOnce(std::chrono::milliseconds maxWait);
 
   // Awaitable pause.
   auto sleepUntil(Time when) {
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -84,7 +84,7 @@
   auto out = root.initHello();
   out.setTerm(heartbeat.term);
   out.setLeading(heartbeat.leading);
-  out.setConfirmed(heartbeat.confirmed);
+  out.setConfirmed(heartbeat.storeConfirmed);
 }
 
 }  // namespace
--- a/src/peer/codec.hpp
+++ b/src/peer/codec.hpp
@@ -38,9 +38,9 @@
 
 // Sent by each controller to each sibling; proves that the link works.
 struct Heartbeat {
-  std::uint64_t term = 0;  // highest term that the sender knows of
-  bool leading = false;    // the sender leads under this term
-  bool confirmed = false;  // the key-value store has answered the sender lately
+  std::uint64_t term = 0;       // highest term that the sender knows of
+  bool leading = false;         // the sender leads under this term
+  bool storeConfirmed = false;  // the key-value store has answered the sender lately
 };
 
 using Payload = std::variant<RelayRequest, RelayResponse, Progress, Heartbeat>;
--- a/src/service/runtime.hpp
+++ b/src/service/runtime.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "net/framed.hpp"
+#include "net/frames.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "service/controller.hpp"
--- a/src/service/sibling_monitor.cpp
+++ b/src/service/sibling_monitor.cpp
@@ -6,9 +6,9 @@
     : context_(context), leadership_(leadership) {}
 
 bool SiblingMonitor::onHeartbeat(const std::string& from, const peer::Heartbeat& heartbeat) {
-  lastHeartbeats_[from] = LastHeartbeat{context_.now, heartbeat.confirmed};
+  lastHeartbeats_[from] = LastHeartbeat{context_.now, heartbeat.storeConfirmed};
   context_.siblingHeardAt = context_.now;
-  if (heartbeat.confirmed) context_.siblingConfirmedAt = context_.now;
+  if (heartbeat.storeConfirmed) context_.siblingConfirmedAt = context_.now;
   if (!heartbeat.leading || heartbeat.term <= announcedTerm_) return false;
   announcedTerm_ = heartbeat.term;
   announcedLeader_ = from;
