--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -1,4 +1,4 @@
-// Answers of the cloud.
+// Decodes and encodes the machine catalogue and the instance list of the cloud.
 #include "wire/fields.hpp"
 
 namespace reachhoist::wire {
@@ -27,11 +27,11 @@
 }  // namespace
 
 Result<std::vector<MachineType>> decodeCatalog(const Json& body) {
-  const Json* list = field(body, "rigs");
-  if (list == nullptr || !list->is_array())
+  const Json* entries = field(body, "rigs");
+  if (entries == nullptr || !entries->is_array())
     return Result<std::vector<MachineType>>::failure("no list 'rigs'");
   std::vector<MachineType> catalog;
-  for (const Json& entry : *list) {
+  for (const Json& entry : *entries) {
     auto machineType = decodeMachineType(entry);
     if (!machineType) return Result<std::vector<MachineType>>::failure(machineType.reason());
     catalog.push_back(std::move(*machineType));
@@ -40,33 +40,33 @@
 }
 
 Json encodeCatalog(const std::vector<MachineType>& machineTypes) {
-  Json list = Json::array();
+  Json entries = Json::array();
   for (const MachineType& machineType : machineTypes) {
-    list.push_back(Json{{"label", machineType.name},
-                        {"vcpus", machineType.capacity.vcpus},
-                        {"accelerators", machineType.capacity.accelerators},
-                        {"memoryGb", machineType.capacity.memoryGb},
-                        {"cacheGb", machineType.imageCacheGb},
-                        {"pullGbPerS", machineType.imagePullGbPerS},
-                        {"rate", machineType.onDemandPricePerHour},
-                        {"marketPrice", machineType.spotPricePerHour},
-                        {"bootS", machineType.nominalBootTimeS},
-                        {"yards", machineType.zones}});
+    entries.push_back(Json{{"label", machineType.name},
+                           {"vcpus", machineType.capacity.vcpus},
+                           {"accelerators", machineType.capacity.accelerators},
+                           {"memoryGb", machineType.capacity.memoryGb},
+                           {"cacheGb", machineType.imageCacheGb},
+                           {"pullGbPerS", machineType.imagePullGbPerS},
+                           {"rate", machineType.onDemandPricePerHour},
+                           {"marketPrice", machineType.spotPricePerHour},
+                           {"bootS", machineType.nominalBootTimeS},
+                           {"yards", machineType.zones}});
   }
-  return Json{{"rigs", std::move(list)}};
+  return Json{{"rigs", std::move(entries)}};
 }
 
 Result<InstanceEntry> decodeInstance(const Json& body) {
   InstanceEntry instance;
   FieldReader fields(body);
-  std::string state;
+  std::string stateName;
   fields.text("ref", instance.host.text);
   fields.text("endpoint", instance.endpoint, true);
   fields.text("rig", instance.machineType);
   fields.text("yard", instance.zone);
   fields.flag("loaners", instance.spot);
-  fields.text("stage", state);
-  fields.named("stage", kInstanceStateNames, state, instance.state);
+  fields.text("stage", stateName);
+  fields.enumerator("stage", kInstanceStateNames, stateName, instance.state);
   instance.ageS = amountField(body, "ageS").value_or(0);
   return fields.result(std::move(instance));
 }
--- a/src/wire/enum_names.hpp
+++ b/src/wire/enum_names.hpp
@@ -1,4 +1,4 @@
-// Tables of the names by which enumerators appear in messages, with look-up in both directions.
+// Tables of the names that enumerators have in messages, and look-up by enumerator or by name.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
   std::string_view name;
 };
 
-// The name of an enumerator, or the fallback if the table has no row for it.
+// Returns the name of an enumerator, or the fallback if the table has no row for it.
 template <class Enum, std::size_t Size>
 constexpr std::string_view nameIn(const EnumName<Enum> (&table)[Size], Enum value,
                                   std::string_view fallback) {
@@ -23,7 +23,7 @@
   return fallback;
 }
 
-// The enumerator of that name, or nothing if the table has no such name.
+// Returns the enumerator with that name, or nothing if the table does not contain the name.
 template <class Enum, std::size_t Size>
 constexpr std::optional<Enum> valueIn(const EnumName<Enum> (&table)[Size], std::string_view name) {
   for (const EnumName<Enum>& row : table)
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -38,23 +38,23 @@
   return found->get<bool>();
 }
 
-void FieldReader::text(const char* key, std::string& out, bool mayBeEmpty) {
+void FieldReader::text(const char* key, std::string& target, bool mayBeEmpty) {
   const auto value = textField(map_, key);
   if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxTextBytes) return fail(key);
-  out = *value;
+  target = *value;
 }
 
-void FieldReader::optionalAmount(const char* key, std::optional<double>& out) {
-  if (!present(key)) return;
+void FieldReader::optionalAmount(const char* key, std::optional<double>& target) {
+  if (!isPresent(key)) return;
   double value = 0;
   amount(key, value);
-  out = value;
+  target = value;
 }
 
-void FieldReader::resources(Resources& out) {
-  amount("vcpus", out.vcpus);
-  amount("accelerators", out.accelerators);
-  amount("memoryGb", out.memoryGb);
+void FieldReader::resources(Resources& target) {
+  amount("vcpus", target.vcpus);
+  amount("accelerators", target.accelerators);
+  amount("memoryGb", target.memoryGb);
 }
 
 const Json* FieldReader::list(const char* key) {
@@ -64,7 +64,7 @@
   return nullptr;
 }
 
-bool FieldReader::present(const char* key) const {
+bool FieldReader::isPresent(const char* key) const {
   const Json* found = field(map_, key);
   return found != nullptr && !found->is_null();
 }
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -1,4 +1,4 @@
-// Checked reading of a message's fields. Internal to the package.
+// Reads the fields of a message and checks them. Internal to the package.
 #pragma once
 
 #include "wire/codec.hpp"
@@ -6,43 +6,43 @@
 
 namespace reachhoist::wire {
 
-inline constexpr std::size_t kMaxTextBytes = 200;  // the longest key of the key-value store
-inline constexpr double kMaxAmount = 1e12;         // a greater amount is an error of the sender
+inline constexpr std::size_t kMaxTextBytes = 200;  // the longest key that the key-value store accepts
+inline constexpr double kMaxAmount = 1e12;         // A greater amount is an error of the sender.
 
-// Reads the fields of a map and keeps the reason of the first failure. A field that can't be read leaves its
-// output unchanged.
+// Reads the fields of a map into typed targets and records the first failure. If a field cannot be read, its
+// target remains unchanged.
 class FieldReader {
  public:
   explicit FieldReader(const Json& map) : map_(map) {}
 
-  // Text of 1 to kMaxTextBytes bytes, or 0 if it may be empty.
-  void text(const char* key, std::string& out, bool mayBeEmpty = false);
-  // A finite number between 0 and kMaxAmount.
-  void amount(const char* key, double& out) { required(key, amountField(map_, key), out); }
-  // An integer that is not negative.
-  void count(const char* key, std::uint64_t& out) { required(key, countField(map_, key), out); }
-  void flag(const char* key, bool& out) { required(key, flagField(map_, key), out); }
-  // An amount that may be absent or null.
-  void optionalAmount(const char* key, std::optional<double>& out);
-  // The amounts of each resource.
-  void resources(Resources& out);
-  // The enumerator that the table has under the name, which was read from the field before.
+  // Reads a text of at most kMaxTextBytes bytes, which is not empty unless `mayBeEmpty`.
+  void text(const char* key, std::string& target, bool mayBeEmpty = false);
+  // Reads a finite number from 0 to kMaxAmount.
+  void amount(const char* key, double& target) { assignRequired(key, amountField(map_, key), target); }
+  // Reads an integer that is not negative.
+  void count(const char* key, std::uint64_t& target) { assignRequired(key, countField(map_, key), target); }
+  void flag(const char* key, bool& target) { assignRequired(key, flagField(map_, key), target); }
+  // Reads an amount that may be absent or null.
+  void optionalAmount(const char* key, std::optional<double>& target);
+  // Reads the amount of each resource.
+  void resources(Resources& target);
+  // Looks up an enumerator by the name that was read from the field before.
   template <class Enum, std::size_t Size>
-  void named(const char* key, const EnumName<Enum> (&table)[Size], std::string_view name, Enum& out) {
-    required(key, valueIn(table, name), out);
+  void enumerator(const char* key, const EnumName<Enum> (&table)[Size], std::string_view name, Enum& target) {
+    assignRequired(key, valueIn(table, name), target);
   }
 
-  // The list in the field; null, and a failure, if there is none.
+  // Returns the list in the field. If the field holds no list, records a failure and returns null.
   const Json* list(const char* key);
-  // Whether the field is there and not null.
-  bool present(const char* key) const;
-  // Records that the field is missing or invalid, unless there was a failure before.
+  // Returns whether the map contains the field with a value other than null.
+  bool isPresent(const char* key) const;
+  // Records that the field is missing or invalid, unless a failure is already recorded.
   void fail(const char* key);
 
   bool ok() const { return reason_.empty(); }
-  // One line that names the first field that failed.
+  // Returns one line that names the first field that failed.
   const std::string& reason() const { return reason_; }
-  // The message read from the fields, or the failure.
+  // Returns the message that was read from the fields, or the recorded failure.
   template <class Message>
   Result<Message> result(Message message) const {
     if (!ok()) return Result<Message>::failure(reason_);
@@ -51,9 +51,9 @@
 
  private:
   template <class Value>
-  void required(const char* key, const std::optional<Value>& value, Value& out) {
+  void assignRequired(const char* key, const std::optional<Value>& value, Value& target) {
     if (!value) return fail(key);
-    out = *value;
+    target = *value;
   }
 
   const Json& map_;
--- a/src/wire/heartbeats.cpp
+++ b/src/wire/heartbeats.cpp
@@ -1,4 +1,4 @@
-// Heartbeats of workers, and the commands in their answers.
+// Decodes and encodes the heartbeats of workers, and encodes the commands in the answers to them.
 #include "wire/fields.hpp"
 
 namespace reachhoist::wire {
@@ -20,15 +20,15 @@
 constexpr EnumName<CommandVerb> kCommandVerbNames[] = {
     {CommandVerb::start, "launch"}, {CommandVerb::stop, "halt"}, {CommandVerb::forget, "reap"}};
 
-// Nothing if the entry lacks the task, the attempt or the state. A state or cause that this version does not
-// know is no error.
+// Returns nothing if the entry lacks the task, the attempt or the state. An unknown state or cause is not an
+// error, since a later protocol version can add some.
 std::optional<TaskStatus> decodeTaskStatus(const Json& entry) {
-  const auto id = parseTaskId(textField(entry, "load").value_or(""));
+  const auto task = parseTaskId(textField(entry, "load").value_or(""));
   const auto attempt = countField(entry, "try");
   const auto state = textField(entry, "stage");
-  if (!id || !attempt || !state) return std::nullopt;
+  if (!task || !attempt || !state) return std::nullopt;
   TaskStatus status;
-  status.task = *id;
+  status.task = *task;
   status.attempt = *attempt;
   status.state = valueIn(kTaskStateNames, *state).value_or(TaskState::unrecognized);
   if (status.state == TaskState::ended) {
@@ -40,13 +40,13 @@
   return status;
 }
 
-void readTasks(FieldReader& fields, std::vector<TaskStatus>& out) {
-  const Json* tasks = fields.list("loads");
-  if (tasks == nullptr) return;
-  for (const Json& entry : *tasks) {
+void readTasks(FieldReader& fields, std::vector<TaskStatus>& tasks) {
+  const Json* entries = fields.list("loads");
+  if (entries == nullptr) return;
+  for (const Json& entry : *entries) {
     auto status = decodeTaskStatus(entry);
     if (!status) return fields.fail("loads");
-    out.push_back(std::move(*status));
+    tasks.push_back(std::move(*status));
   }
 }
 
@@ -79,23 +79,24 @@
     if (status.checkpointed) entry["stored"] = true;
     tasks.push_back(std::move(entry));
   }
-  Json out{{"host", heartbeat.host.text}, {"endpoint", heartbeat.endpoint},  {"rig", heartbeat.machineType},
-           {"yard", heartbeat.zone},      {"loaners", heartbeat.spot},       {"shift", heartbeat.incarnation},
-           {"tally", heartbeat.sequence}, {"baton", heartbeat.fencingToken}, {"loads", std::move(tasks)}};
-  if (heartbeat.timeUntilReclaimS) out["recallS"] = *heartbeat.timeUntilReclaimS;
-  return out;
+  Json body{
+      {"host", heartbeat.host.text}, {"endpoint", heartbeat.endpoint},  {"rig", heartbeat.machineType},
+      {"yard", heartbeat.zone},      {"loaners", heartbeat.spot},       {"shift", heartbeat.incarnation},
+      {"tally", heartbeat.sequence}, {"baton", heartbeat.fencingToken}, {"loads", std::move(tasks)}};
+  if (heartbeat.timeUntilReclaimS) body["recallS"] = *heartbeat.timeUntilReclaimS;
+  return body;
 }
 
-Json encodeCommands(std::uint64_t token, const std::vector<Command>& commands) {
-  Json list = Json::array();
+Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands) {
+  Json orders = Json::array();
   for (const Command& command : commands) {
     Json entry{{"verb", nameIn(kCommandVerbNames, command.verb, "halt")},
                {"load", command.task.str()},
                {"try", command.attempt}};
     if (command.verb == CommandVerb::stop) entry["windDownS"] = command.gracePeriodS;
-    list.push_back(std::move(entry));
+    orders.push_back(std::move(entry));
   }
-  return Json{{"baton", token}, {"orders", std::move(list)}};
+  return Json{{"baton", fencingToken}, {"orders", std::move(orders)}};
 }
 
 }  // namespace reachhoist::wire
--- a/src/wire/job_names.hpp
+++ b/src/wire/job_names.hpp
@@ -1,4 +1,4 @@
-// Names of the job enumerators in messages. Internal to the package.
+// The names of job kinds and priorities in messages. Internal to the package.
 #pragma once
 
 #include "wire/enum_names.hpp"
--- a/src/wire/types.cpp
+++ b/src/wire/types.cpp
@@ -8,9 +8,9 @@
 namespace reachhoist::wire {
 
 namespace {
-constexpr std::string_view kJobPrefix = "job-";
+constexpr std::string_view kJobRefPrefix = "job-";
 constexpr std::size_t kMaxRefDigits = 18;
-constexpr double kRoundingSlack = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 
 constexpr EnumName<JobStage> kJobStageNames[] = {{JobStage::pending, "pending"},
                                                  {JobStage::running, "running"},
@@ -19,8 +19,8 @@
 }  // namespace
 
 bool isValidJobRef(std::string_view text) {
-  if (!text.starts_with(kJobPrefix)) return false;
-  text.remove_prefix(kJobPrefix.size());
+  if (!text.starts_with(kJobRefPrefix)) return false;
+  text.remove_prefix(kJobRefPrefix.size());
   return !text.empty() && text.size() <= kMaxRefDigits &&
          std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
@@ -29,10 +29,10 @@
   const auto slash = text.find('/');
   if (slash == std::string_view::npos || !isValidJobRef(text.substr(0, slash))) return std::nullopt;
   const auto digits = text.substr(slash + 1);
-  TaskId id{JobRef{std::string(text.substr(0, slash))}, 0};
-  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), id.index);
+  TaskId task{JobRef{std::string(text.substr(0, slash))}, 0};
+  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), task.index);
   if (error != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
-  return id;
+  return task;
 }
 
 std::string_view name(JobKind kind) { return nameIn(kJobKindNames, kind, "sweep"); }
@@ -54,8 +54,9 @@
 }
 
 bool Resources::fitsIn(const Resources& capacity) const {
-  return vcpus <= capacity.vcpus + kRoundingSlack && accelerators <= capacity.accelerators + kRoundingSlack &&
-         memoryGb <= capacity.memoryGb + kRoundingSlack;
+  return vcpus <= capacity.vcpus + kRoundingTolerance &&
+         accelerators <= capacity.accelerators + kRoundingTolerance &&
+         memoryGb <= capacity.memoryGb + kRoundingTolerance;
 }
 
 bool JobSpec::allowsMachineType(std::string_view machineType) const {
