--- a/src/config/json_reader.hpp
+++ b/src/config/json_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the fields of a JSON object into typed values and reports what is missing or wrong.
+// Reads the fields of a JSON object into typed values and reports a field that is missing or invalid.
 #pragma once
 
 #include <cstddef>
@@ -10,46 +10,48 @@
 
 namespace reachhoist::config {
 
-// Reads fields of one JSON object. All readers of a document share one error: the first one is kept, and a
-// field in error keeps its earlier value. Borrows the object and the error.
+// Reads the fields of one JSON object. All readers of a document share one error, which holds the first
+// failure. If a field is invalid, its target remains unchanged. The object and the error must outlive the
+// reader.
 class JsonReader {
  public:
   using Json = wire::Json;
 
-  // `prefix` is the path of the object, with a dot at its end unless it is the root.
-  JsonReader(const Json& object, std::string prefix, std::optional<FieldError>& error)
-      : object_(object), prefix_(std::move(prefix)), error_(error) {}
+  // `pathPrefix` is the path of the object followed by a dot, or empty for the root.
+  JsonReader(const Json& object, std::string pathPrefix, std::optional<FieldError>& error)
+      : object_(object), pathPrefix_(std::move(pathPrefix)), error_(error) {}
 
-  // Required text that isn't empty.
-  void text(const char* key, std::string& out);
-  // Required host:port.
-  void endpoint(const char* key, std::string& out);
-  // Required number of at least `min`.
-  void amount(const char* key, double& out, double min);
-  // Required whole number of at least `min`.
-  void count(const char* key, unsigned& out, unsigned min);
+  // Reads a required string that is not empty.
+  void text(const char* key, std::string& target);
+  // Reads a required address of the form host:port.
+  void endpoint(const char* key, std::string& target);
+  // Reads a required number of at least `min`.
+  void amount(const char* key, double& target, double min);
+  // Reads a required whole number of at least `min`. Numbers above a maximum are read as the maximum.
+  void count(const char* key, unsigned& target, unsigned min);
 
-  // Whether the field is there and isn't null.
+  // Returns whether the object contains the field with a value other than null.
   bool has(const char* key) const;
-  // A number of at least 0; an absent field keeps the default.
-  void optionalAmount(const char* key, double& out);
-  // An optional number that may lower `out` but not raise it.
-  void lowerAmount(const char* key, double& out, double min);
-  void lowerCount(const char* key, unsigned& out, unsigned min);
-
-  // Required list; empty if in error.
+  // Reads an optional number of at least 0. If the field is absent, the target remains unchanged.
+  void optionalAmount(const char* key, double& target);
+  // These functions read an optional number of at least `min` and lower the target to it. They never raise
+  // the target.
+  void lowerAmount(const char* key, double& target, double min);
+  void lowerCount(const char* key, unsigned& target, unsigned min);
+
+  // Returns a required list, or an empty one if the field is invalid.
   const Json& list(const char* key);
-  // Reader of a required nested object; of an empty one if in error.
+  // Returns a reader of a required nested object, or of an empty object if the field is invalid.
   JsonReader object(const char* key);
-  // Reader of the entry `index` of the list `key`.
+  // Returns a reader of `value`, which is the entry `index` of the list `key`.
   JsonReader entry(const char* key, const Json& value, std::size_t index);
 
-  // Records an error of the field, unless there is one already.
+  // Records that the field is invalid, unless an error is already recorded.
   void fail(const std::string& key, const std::string& reason);
 
  private:
   const Json& object_;
-  std::string prefix_;
+  std::string pathPrefix_;
   std::optional<FieldError>& error_;
 };
 
--- a/src/config/read_file.hpp
+++ b/src/config/read_file.hpp
@@ -1,4 +1,4 @@
-// Reads a settings file as a whole.
+// Reads a whole file.
 #pragma once
 
 #include <fstream>
@@ -8,13 +8,13 @@
 
 namespace reachhoist::config {
 
-// The contents of the file; nothing if it can't be read.
+// Returns the contents of the file, or nothing if it cannot be read.
 inline std::optional<std::string> readFile(const std::string& path) {
-  std::ifstream in(path, std::ios::binary);
-  if (!in) return std::nullopt;
-  std::ostringstream text;
-  text << in.rdbuf();
-  return text.str();
+  std::ifstream file(path, std::ios::binary);
+  if (!file) return std::nullopt;
+  std::ostringstream contents;
+  contents << file.rdbuf();
+  return contents.str();
 }
 
 }  // namespace reachhoist::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,3 @@
-// Values derived from the settings.
 #include "config/settings.hpp"
 
 #include <algorithm>
@@ -24,7 +23,7 @@
 }
 
 std::chrono::milliseconds Settings::answerWindow() const {
-  // A lease renewed at the very end of the window must have run out, on the slowest clock, within cancel_s.
+  // A lease that is renewed at the end of the window must expire within cancel_s even on the slowest clock.
   const double windowS =
       workers.cancelS * (1 - constants::kMaxClockDrift) - workers.leaseS * (1 + constants::kMaxClockDrift);
   return std::chrono::milliseconds(static_cast<long>(windowS * 1000)) - constants::kLeaseSafetyMargin;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,5 @@
-// The settings of a controller: the platform's settings file (JSON) and the operators' own (HCL blocks, read
-// by libconfuse).
+// The settings of a controller. They come from the platform's settings file (JSON) and from the operators'
+// file (HCL blocks, read with libconfuse).
 #pragma once
 
 #include <chrono>
@@ -19,58 +19,60 @@
   std::string endpoint;  // host:port of its peer listener
 };
 
-// Addresses of the outside services, as host:port.
+// The addresses of the outside services, as host:port.
 struct ServiceEndpoints {
   std::string cloud;
   std::string state;  // the key-value store
 };
 
-// A team's quota: what it is guaranteed and the most it may use.
+// The quota of a team: its guaranteed resources and the limits of its use.
 struct Team {
   std::string name;
-  double cpus = 0;     // vCPUs guaranteed
-  double cpusMax = 0;  // vCPUs; 0: no limit
-  double gpus = 0;     // accelerators guaranteed
-  double gpusMax = 0;  // accelerators; 0: no limit
+  double cpus = 0;     // guaranteed vCPUs
+  double cpusMax = 0;  // maximum vCPUs; 0 means no limit
+  double gpus = 0;     // guaranteed accelerators
+  double gpusMax = 0;  // maximum accelerators; 0 means no limit
 };
 
 // A service-level objective of the deployment.
 struct Objective {
-  std::string kind;  // "wait": until a job's start; "finished": until its end; "deadline": the job's own
+  // "wait" limits the time until a job starts, "finished" the time until it ends. "deadline" refers to the
+  // deadline that the job itself states.
+  std::string kind;
   std::string jobClass;
-  double withinS = 0;         // seconds from acceptance; for "wait" and "finished"
-  double share = 0;           // of the jobs that shall meet it, 0..1
-  double deadlineFactor = 0;  // factor of the job's due time; for "deadline"
+  double withinS = 0;         // time since the job was accepted; for "wait" and "finished"
+  double requiredShare = 0;   // share of the jobs that should meet the objective, 0..1
+  double deadlineFactor = 0;  // multiplies the job's own deadline; for "deadline"
 };
 
-// Heartbeats and leases of the workers, in seconds.
+// Times of the workers' heartbeats, leases and gangs.
 struct WorkerSettings {
   double heartbeatIntervalS = 3;
-  double leaseS = 22;          // a worker stops its tasks this long after its last answered heartbeat
-  double cancelS = 42;         // a cancelled job's tasks must be gone within this
-  double gangWaitS = 45;       // a gang's task waits this long for the others
-  double gangStopWindowS = 4;  // within which all tasks of a gang must be told to stop
+  double leaseS = 22;          // A worker stops its tasks this long after its last answered heartbeat.
+  double cancelS = 42;         // The tasks of a cancelled job must have ended within this time.
+  double gangWaitS = 45;       // A task of a gang waits this long for the other tasks.
+  double gangStopWindowS = 4;  // All tasks of a gang must receive their stop commands within this time.
 };
 
 // Limits of the key-value store.
 struct StateLimits {
   double requestsPerS = 60;
   double writesPerS = 20;
-  double maxValueKib = 8;           // largest value, in KiB
-  unsigned opsPerTransaction = 12;  // puts and deletes
+  double maxValueKib = 8;           // maximum size of a value
+  unsigned opsPerTransaction = 12;  // maximum number of puts and deletes in a transaction
 };
 
 // Limits of the cloud's interface.
 struct CloudLimits {
   double requestsPerS = 4;
-  double listLagS = 6;  // how far the instance list may lag behind, in seconds
+  double listLagS = 6;  // maximum delay until the instance list shows a change
 };
 
-// What the controller's process may use.
+// The resources that the controller process may use.
 struct ProcessLimits {
-  double coreShare = 1;  // of one CPU core
+  double coreShare = 1;  // share of one CPU core
   double ramMb = 0;
-  unsigned maxConnections = 1000;  // sockets, in both directions
+  unsigned maxConnections = 1000;  // maximum number of sockets for incoming and outgoing connections
 };
 
 // The weight of one group in the operators' fair-share table.
@@ -79,40 +81,40 @@
   double weight = 0;
 };
 
-// The operators' block `shares`; without it capacity is not divided.
+// The operators' block `shares`. Without it the capacity is not divided among groups.
 struct ShareSettings {
   bool enabled = false;
-  std::uint64_t generation = 1;  // of this table; an older one never replaces a newer one that is stored
-  double othersWeight = 1;       // of all work in no group
+  std::uint64_t generation = 1;  // A table never replaces a stored table of a higher generation.
+  double othersWeight = 1;       // the common weight of all work that belongs to no group
   double reclaimStep = 0.1;      // share of the capacity that is reclaimed at once
   std::vector<ShareWeight> groups;
 };
 
-// What operators may set themselves; every value has a default.
+// The settings that operators can change. Every value has a default.
 struct OperatorSettings {
   double sizingRoundS = constants::kDefaultSizingRoundS;
   double scaleUpCooldownS = constants::kDefaultScaleUpCooldownS;
   double scaleDownCooldownS = constants::kDefaultScaleDownCooldownS;
   int stepDivisor = constants::kDefaultStepDivisor;
-  double probeChance = 0.15;  // of a random step in the first round, 0..1
-  double probeDecay = 0.95;   // factor of the probe chance from round to round
-  double probeFloor = 0.05;   // least probe chance
-  int episodes = 15;          // episodes retrieved for a step
+  double probeChance = 0.15;  // probability of a random step in the first round, 0..1
+  double probeDecay = 0.95;   // multiplies the probability from round to round
+  double probeFloor = 0.05;   // minimum of the probability
+  int episodes = 15;          // number of episodes that are retrieved for a step
   double headroomShare = constants::kDefaultHeadroomShare;
   double reserveShare = constants::kDefaultReserveShare;
-  double idleScaleInS = 45;  // an empty machine is released after this many seconds
+  double idleScaleInS = 45;  // An empty machine is released after this time.
   ShareSettings shares;
 };
 
 // All settings of one controller.
 struct Settings {
   std::string label;       // this controller's name
-  std::string area;        // the network area it runs in
+  std::string area;        // the network area in which this controller runs
   std::string bind;        // host:port of the HTTP server
   std::string peerListen;  // host:port of the peer listener
   std::vector<Sibling> siblings;
   ServiceEndpoints endpoints;
-  unsigned initialSize = 1;  // controllers of the deployment's first start
+  unsigned initialSize = 1;  // number of controllers at the first start of the deployment
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
@@ -120,45 +122,47 @@
   StateLimits stateLimits;
   CloudLimits cloudLimits;
   ProcessLimits processLimits;
-  double clockOffMs = 0;  // how far the time of day may be off, in milliseconds
-  // Partitions of a first start. From the present limits, also where lower ones are announced: the number is
-  // kept for ever, and every version must come to the same.
+  double maxClockErrorMs = 0;  // maximum error of the system clock
+  // The number of partitions at the first start. It follows from the present limits even if lower limits are
+  // announced, because it never changes afterwards and every version must compute the same number.
   unsigned initialPartitions = 1;
   OperatorSettings operators;
 
-  // The team or sibling of this name; null if there is none.
+  // These functions return the team or sibling with this name, or null if there is none.
   const Team* team(const std::string& name) const;
   const Sibling* sibling(const std::string& name) const;
 
-  // Sockets for outgoing calls.
+  // Returns the number of sockets for outgoing calls.
   unsigned clientSockets() const;
-  // Of those, the most that calls to workers may use at once.
+  // Returns how many of these sockets calls to workers may use at the same time.
   unsigned maxWorkerCalls() const { return clientSockets() - constants::kReservedServiceSockets; }
-  // Sockets for incoming connections of workers and users.
+  // Returns the number of sockets for incoming connections of workers and users.
   unsigned serverSockets() const {
     return processLimits.maxConnections - clientSockets() - constants::kPeerLinkSockets;
   }
 
-  // How long after its leadership was last confirmed a controller may still answer heartbeats
+  // Returns how long a leader may answer heartbeats after the last confirmation of its leadership
   // (docs/safety.md, point 7).
   std::chrono::milliseconds answerWindow() const;
-  // How long after the last answer that could have reached a worker its lease has certainly expired.
+  // Returns the time after which a worker's lease has certainly expired, counted from the last answer that
+  // the worker could have received.
   std::chrono::milliseconds leaseExpiry() const;
 };
 
-// A value that was refused.
+// A value that was rejected.
 struct FieldError {
-  std::string field;   // path of the field, such as "facts.teams[0].cpus", or the file's name
-  std::string reason;  // what is wrong with it
+  std::string field;   // the path of the field, such as "facts.teams[0].cpus", or the name of the file
+  std::string reason;  // says what is wrong with the value
 };
 
-// Reads the platform's settings file into `out`. Returns the first error; `out` is then incomplete.
-std::optional<FieldError> loadPlatform(const std::string& path, Settings& out);
-// The same from the file's text.
-std::optional<FieldError> parsePlatform(const std::string& text, Settings& out);
-// Reads the operators' file into `out.operators`. Returns the first error; `out` is then incomplete.
-std::optional<FieldError> loadOperators(const std::string& path, Settings& out);
-// The same from the file's text.
-std::optional<FieldError> parseOperators(const std::string& text, Settings& out);
+// Reads the platform's settings file into `settings`. Returns the first error; `settings` is then incomplete.
+std::optional<FieldError> loadPlatform(const std::string& path, Settings& settings);
+// Does the same with the contents of the file.
+std::optional<FieldError> parsePlatform(const std::string& text, Settings& settings);
+// Reads the operators' file into `settings.operators`. Returns the first error; `settings` is then
+// incomplete.
+std::optional<FieldError> loadOperators(const std::string& path, Settings& settings);
+// Does the same with the contents of the file.
+std::optional<FieldError> parseOperators(const std::string& text, Settings& settings);
 
 }  // namespace reachhoist::config
