--- a/src/calls/executor.cpp
+++ b/src/calls/executor.cpp
@@ -8,19 +8,20 @@
 
 net::Task<wire::CallResult> execute(net::HttpClient& client, wire::Call call) {
   std::string body = call.body.is_null() ? std::string() : wire::encodeBody(call.body);
-  const net::HttpResult answer =
+  const net::HttpResult response =
       co_await client.call(call.endpoint, call.method, call.path, std::move(body), call.timeout);
   wire::CallResult result;
-  result.sent = answer.sent;
-  result.responseTooLarge = answer.tooLarge;
-  if (answer.status == 0) co_return result;
-  result.status = answer.status;
-  if (answer.body.empty()) co_return result;
-  auto decoded = wire::decodeBody(answer.body);
+  result.sent = response.sent;
+  result.responseTooLarge = response.responseTooLarge;
+  if (response.status == 0) co_return result;
+  result.status = response.status;
+  if (response.body.empty()) co_return result;
+  auto decoded = wire::decodeBody(response.body);
   if (decoded) {
     result.body = std::move(*decoded);
-  } else if (answer.status == http::kOk) {
-    result.status = 0;  // callers rely on the body of a success, so without one the outcome is unknown
+  } else if (response.status == http::kOk) {
+    // Callers need the body of a successful answer, so without it the outcome counts as unknown.
+    result.status = 0;
   }
   co_return result;
 }
--- a/src/calls/executor.hpp
+++ b/src/calls/executor.hpp
@@ -1,4 +1,4 @@
-// Executes calls to outside systems: CBOR bodies over HTTP.
+// Executes calls to outside systems over HTTP with CBOR bodies.
 #pragma once
 
 #include "net/http_client.hpp"
@@ -6,8 +6,8 @@
 
 namespace reachhoist::calls {
 
-// Sends the call with its body encoded as CBOR and decodes the answer. The result has status 0 when there was
-// no answer, or a success whose body could not be decoded.
+// Encodes the body of the call as CBOR, sends the call and decodes the response. The result has status 0 if
+// no response was received, or if the body of a response with status 200 could not be decoded.
 net::Task<wire::CallResult> execute(net::HttpClient& client, wire::Call call);
 
 }  // namespace reachhoist::calls
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -1,5 +1,5 @@
-// A pool of idle client connections kept for reuse: a few per endpoint, and no more in all than a share of
-// the process's sockets. Connections idle for longer than a limit are closed first.
+// A pool of idle client connections. It limits the connections per endpoint, the total number of sockets and
+// the time for which a connection stays idle.
 #pragma once
 
 #include <chrono>
@@ -11,22 +11,23 @@
 
 namespace reachhoist::net {
 
-// Holds idle connections of type Connection (movable, default-constructible to an empty value) by endpoint.
-// The least recently used connection is evicted first. Not thread-safe; used from the reactor's thread.
+// Stores idle connections by endpoint. Connection is movable, and its default constructor creates an empty
+// value. The pool evicts the connection that has been idle longest first. It is not thread-safe and belongs
+// to the reactor's thread.
 template <class Connection>
 class ConnectionPool {
  public:
   using Time = std::chrono::steady_clock::time_point;
 
-  // maxSockets: sockets in use plus pooled ones may not exceed it. maxPerEndpoint: pooled connections per
-  // endpoint. maxIdle: a connection pooled for longer is closed.
-  ConnectionPool(std::size_t maxSockets, std::size_t maxPerEndpoint, Time::duration maxIdle)
-      : maxSockets_(maxSockets), maxPerEndpoint_(maxPerEndpoint), maxIdle_(maxIdle) {}
+  // `maxSockets` limits the sum of sockets in use and pooled connections, and `maxPerEndpoint` the pooled
+  // connections of one endpoint. A connection that has been idle for longer than `maxIdleTime` is closed.
+  ConnectionPool(std::size_t maxSockets, std::size_t maxPerEndpoint, Time::duration maxIdleTime)
+      : maxSockets_(maxSockets), maxPerEndpoint_(maxPerEndpoint), maxIdleTime_(maxIdleTime) {}
 
   // Removes and returns the most recently pooled connection to the endpoint, or an empty Connection if there
-  // is none. Expired connections are closed first.
+  // is none. It first closes the connections that have been idle for too long.
   Connection take(const std::string& endpoint, Time now) {
-    while (!idle_.empty() && idle_.front().since < now - maxIdle_) evict(idle_.begin());
+    while (!idle_.empty() && idle_.front().idleSince < now - maxIdleTime_) evict(idle_.begin());
     const auto found = byEndpoint_.find(endpoint);
     if (found == byEndpoint_.end()) return Connection{};
     const auto newest = found->second.back();
@@ -35,28 +36,29 @@
     return connection;
   }
 
-  // Pools a connection to the endpoint. inUse: sockets the caller has open besides this one.
-  void put(const std::string& endpoint, Connection connection, std::size_t inUse, Time now) {
-    evictFor(inUse + 1);
+  // Adds a connection to the pool. `socketsInUse` counts the caller's other open sockets.
+  void put(const std::string& endpoint, Connection connection, std::size_t socketsInUse, Time now) {
+    evictFor(socketsInUse + 1);
     auto& entries = byEndpoint_[endpoint];
     entries.push_back(idle_.insert(idle_.end(), Entry{endpoint, std::move(connection), now}));
     if (entries.size() > maxPerEndpoint_) evict(entries.front());
   }
 
-  // Closes the longest idle connections until inUse plus the pooled ones fit into maxSockets. A fleet of
-  // workers would otherwise fill all sockets with idle connections, one to each.
-  void evictFor(std::size_t inUse) {
-    while (!idle_.empty() && inUse + idle_.size() > maxSockets_) evict(idle_.begin());
+  // Closes the connections that have been idle longest until the sockets in use and the pooled connections
+  // together do not exceed `maxSockets`. Otherwise idle connections to the workers of a large fleet would
+  // take all sockets.
+  void evictFor(std::size_t socketsInUse) {
+    while (!idle_.empty() && socketsInUse + idle_.size() > maxSockets_) evict(idle_.begin());
   }
 
-  // Number of pooled connections.
+  // Returns the number of pooled connections.
   std::size_t size() const { return idle_.size(); }
 
  private:
   struct Entry {
     std::string endpoint;
     Connection connection;
-    Time since;
+    Time idleSince;
   };
   using List = std::list<Entry>;
 
@@ -69,8 +71,8 @@
 
   std::size_t maxSockets_;
   std::size_t maxPerEndpoint_;
-  Time::duration maxIdle_;
-  List idle_;  // longest idle first
+  Time::duration maxIdleTime_;
+  List idle_;  // ordered by `idleSince`, earliest first
   std::unordered_map<std::string, std::vector<typename List::iterator>> byEndpoint_;
 };
 
--- a/src/net/frames.cpp
+++ b/src/net/frames.cpp
@@ -8,25 +8,27 @@
 namespace reachhoist::net {
 
 namespace {
-constexpr std::size_t kReadChunk = 16 * 1024;  // bytes
-constexpr std::size_t kPrefixBytes = 4;        // of a frame's length, little endian
-// Open connections from siblings: each needs one, and a restart may leave an old one behind.
+constexpr std::size_t kReadChunkBytes = 16 * 1024;
+constexpr std::size_t kPrefixBytes = 4;  // The prefix holds the length of the frame, little endian.
+// Limits the open connections from siblings. Each sibling needs one, and a restarted sibling can leave an old
+// one open.
 constexpr std::size_t kMaxConnections = 32;
-constexpr std::chrono::seconds kReceiveTimeout{30};  // siblings send a heartbeat every second
-constexpr std::chrono::seconds kWriteTimeout{5};     // after which the sibling is connected to anew
+constexpr std::chrono::seconds kReceiveTimeout{30};  // Siblings send a heartbeat every second.
+constexpr std::chrono::seconds kWriteTimeout{5};     // After this time the sender opens a new connection.
 
-std::string encodePrefix(std::size_t size) {
+std::string encodePrefix(std::size_t frameBytes) {
   std::string prefix;
-  for (std::size_t i = 0; i < kPrefixBytes; ++i) prefix.push_back(static_cast<char>(size >> (8 * i) & 255U));
+  for (std::size_t i = 0; i < kPrefixBytes; ++i)
+    prefix.push_back(static_cast<char>(frameBytes >> (8 * i) & 255U));
   return prefix;
 }
 
-// The buffer holds at least the prefix.
+// The buffer must hold at least the prefix.
 std::size_t decodePrefix(std::string_view buffer) {
-  std::size_t size = 0;
+  std::size_t frameBytes = 0;
   for (std::size_t i = 0; i < kPrefixBytes; ++i)
-    size |= std::size_t{static_cast<unsigned char>(buffer[i])} << (8 * i);
-  return size;
+    frameBytes |= std::size_t{static_cast<unsigned char>(buffer[i])} << (8 * i);
+  return frameBytes;
 }
 }  // namespace
 
@@ -41,32 +43,32 @@
 Task<void> FrameListener::acceptLoop() {
   for (;;) {
     Fd fd = co_await acceptNext(reactor_, *listener_, [] {});
-    if (open_ >= kMaxConnections) continue;
+    if (connectionCount_ >= kMaxConnections) continue;
     spawn(receive(std::make_unique<Socket>(reactor_, std::move(fd))));
   }
 }
 
 Task<void> FrameListener::receive(std::unique_ptr<Socket> socket) {
-  ++open_;
+  ++connectionCount_;
   std::string buffer;
-  std::array<char, kReadChunk> chunk;
+  std::array<char, kReadChunkBytes> chunk;
   for (;;) {
-    const std::size_t got =
+    const std::size_t receivedBytes =
         co_await socket->read(chunk.data(), chunk.size(), reactor_.now() + kReceiveTimeout);
-    if (got == 0) break;
-    buffer.append(chunk.data(), got);
-    if (!takeFrames(buffer)) break;
+    if (receivedBytes == 0) break;
+    buffer.append(chunk.data(), receivedBytes);
+    if (!dispatchFrames(buffer)) break;
   }
-  --open_;
+  --connectionCount_;
 }
 
-bool FrameListener::takeFrames(std::string& buffer) {
+bool FrameListener::dispatchFrames(std::string& buffer) {
   while (buffer.size() >= kPrefixBytes) {
-    const std::size_t size = decodePrefix(buffer);
-    if (size > constants::kMaxPeerFrameBytes) return false;
-    if (buffer.size() < kPrefixBytes + size) break;
-    handler_(buffer.substr(kPrefixBytes, size));
-    buffer.erase(0, kPrefixBytes + size);
+    const std::size_t frameBytes = decodePrefix(buffer);
+    if (frameBytes > constants::kMaxPeerFrameBytes) return false;
+    if (buffer.size() < kPrefixBytes + frameBytes) break;
+    handler_(buffer.substr(kPrefixBytes, frameBytes));
+    buffer.erase(0, kPrefixBytes + frameBytes);
   }
   return true;
 }
@@ -98,7 +100,7 @@
     if (!socket) {
       socket = co_await connectTo(reactor_, address_, reactor_.now() + constants::kConnectTimeout);
       if (!socket) {
-        // Frames that waited for a failed connection are too old to be of use.
+        // The queued frames are discarded, since they would be outdated when a later connection succeeds.
         backlog_.clear();
         backlogBytes_ = 0;
         co_await reactor_.sleepUntil(reactor_.now() + constants::kPeerRetryInterval);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,4 @@
-// An HTTP client that pools its connections: a few for each endpoint, and no more in total than its share of
-// the sockets.
+// An HTTP client that reuses its connections and limits the number of its open sockets.
 #pragma once
 
 #include <memory>
@@ -11,30 +10,31 @@
 
 namespace reachhoist::net {
 
-// The outcome of a request.
+// The result of a request.
 struct HttpResult {
-  int status = 0;         // HTTP status; 0: no response
-  bool sent = false;      // false: certainly nothing of the request reached the other side
-  bool tooLarge = false;  // the response exceeded constants::kMaxResponseBytes
+  int status = 0;                 // HTTP status; 0 means that no response was received
+  bool sent = false;              // false only if no byte of the request can have reached the server
+  bool responseTooLarge = false;  // The response exceeded constants::kMaxResponseBytes.
   std::optional<int> retryAfterS;
   std::string body;
 };
 
-// Not thread-safe; runs on the reactor.
+// Sends HTTP/1.1 requests on the reactor. It is not thread-safe.
 class HttpClient {
  public:
-  // maxSockets: bound on open sockets, above which pooled ones are closed.
+  // If the open sockets exceed `maxSockets`, pooled connections are closed.
   HttpClient(Reactor& reactor, std::size_t maxSockets);
-  // Sends one request and awaits its response. endpoint: "ip:port". timeout: of the whole exchange.
+  // Sends one request and awaits its response. The endpoint has the form "ip:port", and the timeout covers
+  // the connection attempt, the request and the response.
   Task<HttpResult> call(std::string endpoint, std::string method, std::string target, std::string body,
                         std::chrono::milliseconds timeout);
 
  private:
-  // A pooled connection that is still open, or null.
+  // Returns a pooled connection that can be reused, or null.
   std::unique_ptr<Socket> takePooled(const std::string& endpoint);
 
   Reactor& reactor_;
-  std::size_t inUse_ = 0;  // requests under way, each with one socket
+  std::size_t requestsInFlight_ = 0;  // Each request in flight uses one socket.
   ConnectionPool<std::unique_ptr<Socket>> pool_;
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -11,7 +11,7 @@
 namespace reachhoist::net {
 
 namespace {
-constexpr std::size_t kReadChunk = 8 * 1024;  // bytes; most requests fit in one read
+constexpr std::size_t kReadChunkBytes = 8 * 1024;  // Most requests fit into one read.
 }  // namespace
 
 HttpServer::HttpServer(Reactor& reactor, std::size_t maxConnections, Handler handler)
@@ -27,10 +27,11 @@
 
 Task<void> HttpServer::acceptLoop() {
   for (;;) {
-    // Out of descriptors: closing the connection that has been idle longest frees one.
-    Fd fd = co_await acceptNext(reactor_, *listener_, [this] { closeIdlest(); });
-    // At the bound: the idlest connection is closed in favour of the new one, or else the new one is refused.
-    if (connections_.size() >= maxConnections_ && !closeIdlest()) continue;
+    // If the process has no free descriptors, closing an idle connection frees one.
+    Fd fd = co_await acceptNext(reactor_, *listener_, [this] { closeLongestIdle(); });
+    // At the connection limit an idle connection is closed in favour of the new one. If none is idle, the new
+    // one is closed.
+    if (connections_.size() >= maxConnections_ && !closeLongestIdle()) continue;
     const int enabled = 1;
     ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     connections_.push_back(Connection{std::make_unique<Socket>(reactor_, std::move(fd)), true});
@@ -38,10 +39,10 @@
   }
 }
 
-bool HttpServer::closeIdlest() {
+bool HttpServer::closeLongestIdle() {
   for (auto& connection : connections_) {
     if (!connection.idle) continue;
-    ::shutdown(connection.socket->fd(), SHUT_RDWR);  // ends the read of its coroutine
+    ::shutdown(connection.socket->fd(), SHUT_RDWR);  // The pending read of its coroutine then ends.
     connection.idle = false;
     return true;
   }
@@ -65,28 +66,30 @@
     }
     const bool keepAlive = parser.message().keepAlive;
     const HttpResponse response = co_await handle(std::move(parser.message()));
-    std::string text = formatResponse(response.status, response.body, response.retryAfterS, keepAlive);
-    if (!co_await write(connection, std::move(text)) || !keepAlive) co_return;
+    std::string responseBytes =
+        formatResponse(response.status, response.body, response.retryAfterS, keepAlive);
+    if (!co_await write(connection, std::move(responseBytes)) || !keepAlive) co_return;
     parser.next();
-    connection.idle = parser.idle();
+    connection.idle = parser.isIdle();
     deadline =
         reactor_.now() + (connection.idle ? constants::kServerIdleTimeout : constants::kRequestReadTimeout);
-    // Most recently used last.
+    // The list is ordered by last use, so the connection moves to the end.
     connections_.splice(connections_.end(), connections_, entry);
   }
 }
 
 Task<bool> HttpServer::readRequest(Connection& connection, HttpParser& parser, Time deadline) {
-  std::array<char, kReadChunk> chunk;
+  std::array<char, kReadChunkBytes> chunk;
   while (parser.state() == HttpParser::State::head || parser.state() == HttpParser::State::body) {
-    const std::size_t got = co_await connection.socket->read(chunk.data(), chunk.size(), deadline);
-    if (got == 0) co_return false;
-    // The time-out of a request starts with its first byte, so that a trickle can't hold a connection.
+    const std::size_t receivedBytes = co_await connection.socket->read(chunk.data(), chunk.size(), deadline);
+    if (receivedBytes == 0) co_return false;
+    // The time-out of a request starts with its first byte, so that a client that sends slowly cannot occupy
+    // the connection.
     if (connection.idle) {
       connection.idle = false;
       deadline = reactor_.now() + constants::kRequestReadTimeout;
     }
-    parser.feed({chunk.data(), got});
+    parser.feed({chunk.data(), receivedBytes});
   }
   co_return true;
 }
@@ -107,9 +110,9 @@
   co_return response;
 }
 
-Task<bool> HttpServer::write(Connection& connection, std::string text) {
+Task<bool> HttpServer::write(Connection& connection, std::string bytes) {
   const Time deadline = reactor_.now() + constants::kRequestReadTimeout;
-  co_return co_await connection.socket->writeAll(text.data(), text.size(), deadline);
+  co_return co_await connection.socket->writeAll(bytes.data(), bytes.size(), deadline);
 }
 
 void HttpServer::respond(std::uint64_t number, HttpResponse response) {
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,5 +1,5 @@
-// An HTTP server with one coroutine per connection, which passes each request to a handler and awaits its
-// response.
+// An HTTP server with one coroutine per connection. The coroutine passes each request to a handler and awaits
+// the response.
 #pragma once
 
 #include <functional>
@@ -13,25 +13,26 @@
 
 namespace reachhoist::net {
 
-// The response to one request: status, body and an optional Retry-After in seconds.
+// The response to one request.
 struct HttpResponse {
   int status = 503;
   std::string body;
   std::optional<int> retryAfterS;
 };
 
-// HTTP/1.1 server with keep-alive and a bound on open connections: when full, the connection idle longest
-// is closed in favour of the new one. Not thread-safe; runs on the reactor.
+// Serves HTTP/1.1 with keep-alive on the reactor and limits the open connections. At the limit it closes the
+// connection that has been idle longest in favour of a new one. It is not thread-safe.
 class HttpServer {
  public:
-  // Takes a request. The response follows through respond() under the same number, now or later.
+  // The handler receives each request with its number. It responds with respond() and the same number, either
+  // immediately or later.
   using Handler = std::function<void(std::uint64_t number, HttpMessage request)>;
 
-  // maxConnections: bound on open connections.
   HttpServer(Reactor& reactor, std::size_t maxConnections, Handler handler);
-  // Listens on the address; false with error set if the socket can't be opened. Call once.
+  // Starts to listen on the address. If the socket cannot be opened, sets `error` and returns false. It may
+  // be called only once.
   bool listen(const Address& address, std::string& error);
-  // Sends the response to the request of this number; ignored if no such request is pending.
+  // Sends the response to the request with this number. It has no effect if no such request is pending.
   void respond(std::uint64_t number, HttpResponse response);
 
  private:
@@ -43,29 +44,30 @@
   struct ResponseAwaiter;
   struct Connection {
     std::unique_ptr<Socket> socket;
-    bool idle = true;  // no part of a request has arrived
+    bool idle = true;  // No byte of a request has been received.
   };
   using ConnectionEntry = std::list<Connection>::iterator;
 
   Task<void> acceptLoop();
-  // Serves the connection until it ends, and removes it.
+  // Serves the connection until it ends, then removes it.
   Task<void> serve(ConnectionEntry entry);
   Task<void> serveRequests(ConnectionEntry entry);
-  // Reads until the parser has a request or has failed; false if the connection ended or timed out. deadline:
-  // of the first byte; once a request has begun, the whole of it has constants::kRequestReadTimeout.
+  // Reads until the parser has a complete request or fails. Returns false if the connection ended or timed
+  // out. The deadline applies to the first byte of a request. The complete request must then arrive within
+  // constants::kRequestReadTimeout.
   Task<bool> readRequest(Connection& connection, HttpParser& parser, Time deadline);
   // Passes the request to the handler and awaits its response.
   Task<HttpResponse> handle(HttpMessage request);
-  // Writes the whole text; false if that fails or takes longer than constants::kRequestReadTimeout.
-  Task<bool> write(Connection& connection, std::string text);
-  // Closes the connection that has been idle longest; false if all are busy.
-  bool closeIdlest();
+  // Writes all bytes. Returns false if that fails or takes longer than constants::kRequestReadTimeout.
+  Task<bool> write(Connection& connection, std::string bytes);
+  // Closes the connection that has been idle longest. Returns false if no connection is idle.
+  bool closeLongestIdle();
 
   Reactor& reactor_;
   std::size_t maxConnections_;
   Handler handler_;
   std::unique_ptr<Socket> listener_;
-  std::list<Connection> connections_;  // least recently used first
+  std::list<Connection> connections_;  // ordered by last use, earliest first
   std::unordered_map<std::uint64_t, PendingRequest> pending_;
   std::uint64_t nextNumber_ = 1;
 };
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -19,15 +19,15 @@
 namespace reachhoist::net {
 
 namespace {
-constexpr int kEventsPerTurn = 64;
-constexpr std::chrono::milliseconds kAcceptPause{50};  // after accept failed
+constexpr int kMaxEventsPerIteration = 64;
+constexpr std::chrono::milliseconds kAcceptRetryInterval{50};
 
 sockaddr_in toSockaddr(const Address& address) {
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
-  out.sin_addr.s_addr = address.ip;
-  out.sin_port = htons(address.port);
-  return out;
+  sockaddr_in socketAddress{};
+  socketAddress.sin_family = AF_INET;
+  socketAddress.sin_addr.s_addr = address.ip;
+  socketAddress.sin_port = htons(address.port);
+  return socketAddress;
 }
 }  // namespace
 
@@ -44,21 +44,21 @@
   number_ = -1;
 }
 
-bool Address::parse(const std::string& text, Address& out) {
+bool Address::parse(const std::string& text, Address& address) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return false;
   in_addr ip{};
   if (::inet_pton(AF_INET, text.substr(0, colon).c_str(), &ip) != 1) return false;
   const char* begin = text.data() + colon + 1;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(begin, end, out.port);
-  if (error != std::errc{} || stop != end || out.port == 0) return false;
-  out.ip = ip.s_addr;
+  const auto [stop, error] = std::from_chars(begin, end, address.port);
+  if (error != std::errc{} || stop != end || address.port == 0) return false;
+  address.ip = ip.s_addr;
   return true;
 }
 
-// Awaits an edge on the waiter; false when the deadline came first.
-struct Socket::Wait {
+// Awaits the next edge that wakes the waiter. The result is false if the deadline passed first.
+struct Socket::EdgeAwaiter {
   Socket& socket;
   Waiter& waiter;
   Time deadline;
@@ -66,10 +66,10 @@
   void await_suspend(std::coroutine_handle<> handle) {
     waiter.handle = handle;
     waiter.timedOut = false;
-    waiter.timer = socket.reactor_.at(deadline, [w = &waiter] {
-      w->timer = 0;
-      w->timedOut = true;
-      std::exchange(w->handle, {}).resume();
+    waiter.timer = socket.reactor_.runAt(deadline, [expired = &waiter] {
+      expired->timer = 0;
+      expired->timedOut = true;
+      std::exchange(expired->handle, {}).resume();
     });
   }
   bool await_resume() {
@@ -97,30 +97,30 @@
   std::exchange(waiter.handle, {}).resume();
 }
 
-Task<bool> Socket::readable(Time deadline) { co_return co_await Wait{*this, read_, deadline}; }
-Task<bool> Socket::writable(Time deadline) { co_return co_await Wait{*this, write_, deadline}; }
+Task<bool> Socket::readable(Time deadline) { co_return co_await EdgeAwaiter{*this, read_, deadline}; }
+Task<bool> Socket::writable(Time deadline) { co_return co_await EdgeAwaiter{*this, write_, deadline}; }
 
-Task<std::size_t> Socket::read(char* into, std::size_t most, Time deadline) {
+Task<std::size_t> Socket::read(char* buffer, std::size_t maxBytes, Time deadline) {
   for (;;) {
-    const ssize_t got = ::recv(fd_.get(), into, most, 0);
-    if (got >= 0) co_return static_cast<std::size_t>(got);
+    const ssize_t receivedBytes = ::recv(fd_.get(), buffer, maxBytes, 0);
+    if (receivedBytes >= 0) co_return static_cast<std::size_t>(receivedBytes);
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) co_return 0;
-    if (!co_await Wait{*this, read_, deadline}) co_return 0;
+    if (!co_await EdgeAwaiter{*this, read_, deadline}) co_return 0;
   }
 }
 
-Task<bool> Socket::writeAll(const char* from, std::size_t size, Time deadline) {
+Task<bool> Socket::writeAll(const char* data, std::size_t size, Time deadline) {
   while (size > 0) {
-    const ssize_t sent = ::send(fd_.get(), from, size, MSG_NOSIGNAL);
-    if (sent > 0) {
-      from += sent;
-      size -= static_cast<std::size_t>(sent);
+    const ssize_t sentBytes = ::send(fd_.get(), data, size, MSG_NOSIGNAL);
+    if (sentBytes > 0) {
+      data += sentBytes;
+      size -= static_cast<std::size_t>(sentBytes);
       continue;
     }
-    if (sent < 0 && errno == EINTR) continue;
-    if (sent < 0 && errno != EAGAIN && errno != EWOULDBLOCK) co_return false;
-    if (!co_await Wait{*this, write_, deadline}) co_return false;
+    if (sentBytes < 0 && errno == EINTR) continue;
+    if (sentBytes < 0 && errno != EAGAIN && errno != EWOULDBLOCK) co_return false;
+    if (!co_await EdgeAwaiter{*this, write_, deadline}) co_return false;
   }
   co_return true;
 }
@@ -130,25 +130,25 @@
 }
 
 void Reactor::add(Socket& socket) {
-  const std::uint64_t number = nextSocket_++;
+  const std::uint64_t number = nextRegistration_++;
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = number;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, socket.fd(), &event) != 0)
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   sockets_[number] = &socket;
-  numbers_[&socket] = number;
+  registrations_[&socket] = number;
 }
 
 void Reactor::remove(Socket& socket) {
-  const auto found = numbers_.find(&socket);
-  if (found == numbers_.end()) return;
+  const auto found = registrations_.find(&socket);
+  if (found == registrations_.end()) return;
   sockets_.erase(found->second);
-  numbers_.erase(found);
+  registrations_.erase(found);
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, socket.fd(), nullptr);
 }
 
-std::uint64_t Reactor::at(Time when, std::function<void()> action) {
+std::uint64_t Reactor::runAt(Time when, std::function<void()> action) {
   const std::uint64_t number = nextTimer_++;
   timers_.emplace(TimerKey{when, number}, std::move(action));
   timerDue_.emplace(number, when);
@@ -171,7 +171,7 @@
 void Reactor::runOnce(std::chrono::milliseconds maxWait) {
   runPosted();
   runTimers();
-  wakeSockets(maxWait);
+  waitForSocketEvents(maxWait);
 }
 
 void Reactor::runPosted() {
@@ -187,22 +187,23 @@
   }
 }
 
-int Reactor::waitMs(std::chrono::milliseconds maxWait) const {
+int Reactor::epollTimeoutMs(std::chrono::milliseconds maxWait) const {
   if (!posted_.empty()) return 0;
-  const int most = maxWait == std::chrono::milliseconds::max() ? -1 : static_cast<int>(maxWait.count());
-  if (timers_.empty()) return most;
-  const auto left = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.due - now());
-  const int leftMs = left.count() > 0 ? static_cast<int>(left.count()) : 0;
-  return most < 0 ? leftMs : std::min(most, leftMs);
+  const int maxWaitMs = maxWait == std::chrono::milliseconds::max() ? -1 : static_cast<int>(maxWait.count());
+  if (timers_.empty()) return maxWaitMs;
+  const auto untilTimer = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.due - now());
+  const int untilTimerMs = untilTimer.count() > 0 ? static_cast<int>(untilTimer.count()) : 0;
+  return maxWaitMs < 0 ? untilTimerMs : std::min(maxWaitMs, untilTimerMs);
 }
 
-void Reactor::wakeSockets(std::chrono::milliseconds maxWait) {
-  std::array<epoll_event, kEventsPerTurn> events{};
-  const int count = ::epoll_wait(epoll_.get(), events.data(), kEventsPerTurn, waitMs(maxWait));
+void Reactor::waitForSocketEvents(std::chrono::milliseconds maxWait) {
+  std::array<epoll_event, kMaxEventsPerIteration> events{};
+  const int count =
+      ::epoll_wait(epoll_.get(), events.data(), kMaxEventsPerIteration, epollTimeoutMs(maxWait));
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
     const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
-    // Looked up twice: the reader that is woken first may have destroyed the socket.
+    // The socket is looked up again for the writer, since the reader that resumes first can destroy it.
     if (broken || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0) {
       if (const auto found = sockets_.find(event.data.u64); found != sockets_.end())
         found->second->wake(found->second->read_);
@@ -241,20 +242,20 @@
       co_await listener.readable(Time::max());
     } else if (errno != EINTR && errno != ECONNABORTED) {
       onFailure();
-      co_await reactor.sleepUntil(reactor.now() + kAcceptPause);
+      co_await reactor.sleepUntil(reactor.now() + kAcceptRetryInterval);
     }
   }
 }
 
 namespace {
-// Awaits the end of a connection attempt under way; false: it failed, or the deadline came first.
-Task<bool> connectionMade(Socket& socket, Time deadline) {
+// Awaits the end of a pending connection attempt. Returns false if it failed or the deadline passed first.
+Task<bool> finishConnect(Socket& socket, Time deadline) {
   for (;;) {
     if (!co_await socket.writable(deadline)) co_return false;
     int error = 0;
     socklen_t size = sizeof error;
     if (::getsockopt(socket.fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) co_return false;
-    // The edge set at registration may come before the connection is made.
+    // The registration of the socket can report an edge before the connection is established.
     sockaddr_in peer{};
     socklen_t peerSize = sizeof peer;
     if (::getpeername(socket.fd(), reinterpret_cast<sockaddr*>(&peer), &peerSize) == 0) co_return true;
@@ -272,7 +273,7 @@
   const bool pending = status != 0 && errno == EINPROGRESS;
   if (status != 0 && !pending) co_return nullptr;
   auto socket = std::make_unique<Socket>(reactor, std::move(fd));
-  if (pending && !co_await connectionMade(*socket, deadline)) co_return nullptr;
+  if (pending && !co_await finishConnect(*socket, deadline)) co_return nullptr;
   co_return socket;
 }
 
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -1,4 +1,4 @@
-// The event loop: an epoll set and a queue of timers, on which coroutines wait.
+// An event loop of epoll events and timers, on which coroutines wait.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
 using Clock = std::chrono::steady_clock;
 using Time = Clock::time_point;
 
-// A file descriptor that is closed with its object.
+// Owns a file descriptor and closes it on destruction.
 class Fd {
  public:
   Fd() = default;
@@ -27,7 +27,7 @@
   Fd(const Fd&) = delete;
   Fd& operator=(const Fd&) = delete;
   ~Fd() { reset(); }
-  // Closes the descriptor, if there is one.
+  // Closes the descriptor if the object owns one.
   void reset();
   int get() const { return number_; }
   explicit operator bool() const { return number_ >= 0; }
@@ -40,14 +40,14 @@
 struct Address {
   std::uint32_t ip = 0;    // network order
   std::uint16_t port = 0;  // host order
-  // Reads "ip:port"; false if the text is not of that form or the port is 0.
-  static bool parse(const std::string& text, Address& out);
+  // Parses "ip:port". Returns false if the text does not have that form or the port is 0.
+  static bool parse(const std::string& text, Address& address);
 };
 
 class Reactor;
 
-// A connected or listening socket registered with the reactor (edge triggered). One reader and one writer may
-// wait at a time.
+// A connected or listening socket that is registered with the reactor for edge-triggered events. At most one
+// reader and one writer may wait at the same time.
 class Socket {
  public:
   Socket(Reactor& reactor, Fd fd);
@@ -56,23 +56,26 @@
   Socket& operator=(const Socket&) = delete;
   int fd() const { return fd_.get(); }
 
-  // Wait for the socket to become readable or writable; false when the deadline came first.
+  // These functions wait until the socket is readable or writable. They return false if the deadline passes
+  // first.
   Task<bool> readable(Time deadline);
   Task<bool> writable(Time deadline);
-  // Bytes read; 0: closed by the other side, an error, or the deadline.
-  Task<std::size_t> read(char* into, std::size_t most, Time deadline);
-  // Writes all bytes; false: closed by the other side, an error, or the deadline.
-  Task<bool> writeAll(const char* from, std::size_t size, Time deadline);
+  // Returns the number of bytes that were read. It is 0 if the peer closed the connection, an error occurred
+  // or the deadline passed.
+  Task<std::size_t> read(char* buffer, std::size_t maxBytes, Time deadline);
+  // Writes all bytes. Returns false if the peer closed the connection, an error occurred or the deadline
+  // passed.
+  Task<bool> writeAll(const char* data, std::size_t size, Time deadline);
 
  private:
   friend class Reactor;
   struct Waiter {
     std::coroutine_handle<> handle;
     std::uint64_t timer = 0;
-    bool ready = false;  // an edge was seen since the last wait
+    bool ready = false;  // An edge has occurred since the last wait.
     bool timedOut = false;
   };
-  struct Wait;
+  struct EdgeAwaiter;
   void wake(Waiter& waiter);
 
   Reactor& reactor_;
@@ -81,34 +84,34 @@
   Waiter write_;
 };
 
-// Single-threaded event loop. Sockets register themselves with it and must not outlive it.
+// A single-threaded event loop. Sockets register themselves with it and must not outlive it.
 class Reactor {
  public:
   Reactor();
   Time now() const { return Clock::now(); }
-  // Runs the action once at the given time; returns the number of the timer, for cancel().
-  std::uint64_t at(Time when, std::function<void()> action);
+  // Runs the action once at the given time. Returns the number of the timer for cancel().
+  std::uint64_t runAt(Time when, std::function<void()> action);
   void cancel(std::uint64_t timer);
-  // Runs the action in the next turn of the loop.
+  // Runs the action in the next iteration of the loop.
   void post(std::function<void()> action);
-  // Runs the loop for ever.
+  // Runs the loop forever.
   [[noreturn]] void run();
-  // One turn of the loop: runs what is due, and then waits for socket events up to maxWait. For use within
-  // another loop.
+  // Runs one iteration of the loop within another loop. It runs the posted actions and the due timers, then
+  // waits for socket events for at most `maxWait` and resumes their coroutines.
   void runOnce(std::chrono::milliseconds maxWait);
 
-  // Awaitable pause.
+  // Returns an awaitable that resumes the coroutine at the given time.
   auto sleepUntil(Time when) {
-    struct Pause {
+    struct SleepAwaiter {
       Reactor& reactor;
       Time when;
       bool await_ready() const { return false; }
       void await_suspend(std::coroutine_handle<> handle) {
-        reactor.at(when, [handle] { handle.resume(); });
+        reactor.runAt(when, [handle] { handle.resume(); });
       }
       void await_resume() const {}
     };
-    return Pause{*this, when};
+    return SleepAwaiter{*this, when};
   }
 
  private:
@@ -123,28 +126,31 @@
   void remove(Socket& socket);
   void runPosted();
   void runTimers();
-  // How long to wait for socket events, as epoll_wait() takes it: -1 for no limit.
-  int waitMs(std::chrono::milliseconds maxWait) const;
-  void wakeSockets(std::chrono::milliseconds maxWait);
+  // Returns the timeout for epoll_wait(), where -1 means no limit.
+  int epollTimeoutMs(std::chrono::milliseconds maxWait) const;
+  // Waits for socket events and resumes the coroutines that wait for them.
+  void waitForSocketEvents(std::chrono::milliseconds maxWait);
 
   Fd epoll_;
-  std::unordered_map<std::uint64_t, Socket*> sockets_;  // by registration number: descriptors are reused
-  std::unordered_map<const Socket*, std::uint64_t> numbers_;
-  std::uint64_t nextSocket_ = 1;
+  // The key is a registration number instead of the descriptor, since the system reuses descriptors.
+  std::unordered_map<std::uint64_t, Socket*> sockets_;
+  std::unordered_map<const Socket*, std::uint64_t> registrations_;
+  std::uint64_t nextRegistration_ = 1;
   std::map<TimerKey, std::function<void()>> timers_;
-  std::unordered_map<std::uint64_t, Time> timerDue_;  // by number
+  std::unordered_map<std::uint64_t, Time> timerDue_;  // by timer number
   std::uint64_t nextTimer_ = 1;
   std::vector<std::function<void()>> posted_;
 };
 
-// A listening, non-blocking descriptor on the address; empty with error set on failure.
+// Opens a non-blocking descriptor that listens on the address. On failure it sets `error` and returns an
+// empty Fd.
 Fd listenOn(const Address& address, std::string& error);
-// A listening socket on the address, registered with the reactor; null with error set on failure.
+// Opens a listening socket that is registered with the reactor. On failure it sets `error` and returns null.
 std::unique_ptr<Socket> listenSocket(Reactor& reactor, const Address& address, std::string& error);
-// Awaits the next connection, as a non-blocking descriptor. When accept fails, as it does when the process is
-// out of descriptors, calls onFailure and tries again after a pause.
+// Awaits the next connection and returns its non-blocking descriptor. If accept fails, for example because
+// the process has no free descriptors, it calls `onFailure` and retries after a delay.
 Task<Fd> acceptNext(Reactor& reactor, Socket& listener, std::function<void()> onFailure);
-// A connected socket, or null if the connection was refused, failed or timed out.
+// Connects to the address. Returns null if the connection was refused, failed or timed out.
 Task<std::unique_ptr<Socket>> connectTo(Reactor& reactor, Address address, Time deadline);
 
 }  // namespace reachhoist::net
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,4 +1,4 @@
-// Lazily started coroutine tasks: awaiting one starts it, and its end resumes the awaiter.
+// Coroutine tasks with lazy start. Awaiting a task starts it, and the end of the task resumes the awaiter.
 #pragma once
 
 #include <coroutine>
@@ -13,7 +13,7 @@
 
 namespace detail {
 
-// Resumes the awaiter at the end of a task.
+// Resumes the awaiter when a task ends.
 struct FinalAwaiter {
   bool await_ready() const noexcept { return false; }
   template <class Promise>
@@ -24,7 +24,7 @@
   void await_resume() const noexcept {}
 };
 
-// What the promises of all tasks share.
+// The common part of the promises of all tasks.
 struct PromiseBase {
   std::coroutine_handle<> continuation;
   std::exception_ptr error;
@@ -56,8 +56,8 @@
 
 }  // namespace detail
 
-// A coroutine with a result of type T. It starts when awaited, and an exception in it reaches its awaiter.
-// May be awaited once; destroying the task destroys the coroutine.
+// A coroutine with a result of type T. It starts when it is awaited, and rethrows an exception to its
+// awaiter. It may be awaited only once. Destroying the task destroys the coroutine.
 template <class T = void>
 class [[nodiscard]] Task {
  public:
@@ -96,8 +96,8 @@
   return Task<void>(std::coroutine_handle<Promise<void>>::from_promise(*this));
 }
 
-// A coroutine that nobody awaits: it starts at once and frees itself at its end. An exception in it ends the
-// program.
+// A coroutine that nothing awaits. It starts immediately and frees itself when it ends. An exception in it
+// terminates the program.
 struct Detached {
   struct promise_type {
     Detached get_return_object() const noexcept { return {}; }
@@ -109,7 +109,7 @@
 };
 }  // namespace detail
 
-// Starts the task without awaiting it. An exception in it ends the program.
+// Starts the task without awaiting it. An exception in the task terminates the program.
 inline void spawn(Task<void> task) {
   [](Task<void> running) -> detail::Detached { co_await running; }(std::move(task));
 }
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -16,63 +16,67 @@
   return {reinterpret_cast<const kj::byte*>(text.data()), text.size()};
 }
 
-std::string toText(capnp::Data::Reader data) {
+std::string toString(capnp::Data::Reader data) {
   return {reinterpret_cast<const char*>(data.begin()), data.size()};
 }
 
-RelayRequest readRelayRequest(rpc::Relay::Reader in) { return {in.getNumber(), toText(in.getReport())}; }
+RelayRequest readRelayRequest(rpc::Relay::Reader relay) {
+  return {relay.getNumber(), toString(relay.getReport())};
+}
 
-RelayResponse readRelayResponse(rpc::Relayed::Reader in) {
-  return {in.getNumber(), in.getStatus(), toText(in.getBody())};
+RelayResponse readRelayResponse(rpc::Relayed::Reader relayed) {
+  return {relayed.getNumber(), relayed.getStatus(), toString(relayed.getBody())};
 }
 
-Progress readProgress(rpc::Progress::Reader in) {
+Progress readProgress(rpc::Progress::Reader reader) {
   Progress progress;
-  progress.term = in.getTerm();
-  for (const auto job : in.getJobs())
+  progress.term = reader.getTerm();
+  for (const auto job : reader.getJobs())
     progress.jobs.push_back(JobProgress{job.getRef().cStr(), job.getDone(), job.getRunning()});
   return progress;
 }
 
-Heartbeat readHeartbeat(rpc::Hello::Reader in) { return {in.getTerm(), in.getLeading(), in.getConfirmed()}; }
+Heartbeat readHeartbeat(rpc::Hello::Reader hello) {
+  return {hello.getTerm(), hello.getLeading(), hello.getConfirmed()};
+}
 
-Message readMessage(rpc::Message::Reader in) {
+Message readMessage(rpc::Message::Reader reader) {
   Message message;
-  message.from = in.getFrom().cStr();
-  switch (in.which()) {
+  message.from = reader.getFrom().cStr();
+  switch (reader.which()) {
     case rpc::Message::RELAY:
-      message.payload = readRelayRequest(in.getRelay());
+      message.payload = readRelayRequest(reader.getRelay());
       break;
     case rpc::Message::RELAYED:
-      message.payload = readRelayResponse(in.getRelayed());
+      message.payload = readRelayResponse(reader.getRelayed());
       break;
     case rpc::Message::PROGRESS:
-      message.payload = readProgress(in.getProgress());
+      message.payload = readProgress(reader.getProgress());
       break;
     case rpc::Message::HELLO:
-      message.payload = readHeartbeat(in.getHello());
+      message.payload = readHeartbeat(reader.getHello());
       break;
   }
   return message;
 }
 
 void write(const RelayRequest& request, rpc::Message::Builder root) {
-  auto out = root.initRelay();
-  out.setNumber(request.number);
-  out.setReport(toData(request.heartbeat));
+  auto relay = root.initRelay();
+  relay.setNumber(request.number);
+  relay.setReport(toData(request.heartbeat));
 }
 
 void write(const RelayResponse& response, rpc::Message::Builder root) {
-  auto out = root.initRelayed();
-  out.setNumber(response.number);
-  out.setStatus(static_cast<std::uint16_t>(response.status));
-  out.setBody(toData(response.body));
+  auto relayed = root.initRelayed();
+  relayed.setNumber(response.number);
+  relayed.setStatus(static_cast<std::uint16_t>(response.status));
+  relayed.setBody(toData(response.body));
 }
 
 void write(const Progress& progress, rpc::Message::Builder root) {
-  auto out = root.initProgress();
-  out.setTerm(progress.term);
-  auto jobs = out.initJobs(static_cast<unsigned>(progress.jobs.size()));
+  auto builder = root.initProgress();
+  builder.setTerm(progress.term);
+  auto jobs = builder.initJobs(static_cast<unsigned>(progress.jobs.size()));
   for (unsigned i = 0; i < progress.jobs.size(); ++i) {
     jobs[i].setRef(progress.jobs[i].ref);
     jobs[i].setDone(progress.jobs[i].done);
@@ -81,10 +85,10 @@
 }
 
 void write(const Heartbeat& heartbeat, rpc::Message::Builder root) {
-  auto out = root.initHello();
-  out.setTerm(heartbeat.term);
-  out.setLeading(heartbeat.leading);
-  out.setConfirmed(heartbeat.storeConfirmed);
+  auto hello = root.initHello();
+  hello.setTerm(heartbeat.term);
+  hello.setLeading(heartbeat.leading);
+  hello.setConfirmed(heartbeat.storeConfirmed);
 }
 
 }  // namespace
@@ -102,14 +106,14 @@
 std::optional<Message> decode(const std::string& frame) {
   if (frame.empty() || frame.size() % sizeof(capnp::word) != 0) return std::nullopt;
   std::optional<Message> message;
-  // Cap'n Proto throws on malformed input, and needs aligned memory, hence the copy.
-  const auto failed = kj::runCatchingExceptions([&] {
+  // Cap'n Proto throws on malformed input. It requires aligned memory, so the frame is copied.
+  const auto exception = kj::runCatchingExceptions([&] {
     auto words = kj::heapArray<capnp::word>(frame.size() / sizeof(capnp::word));
     std::memcpy(words.begin(), frame.data(), frame.size());
     capnp::FlatArrayMessageReader reader(words);
     message = readMessage(reader.getRoot<rpc::Message>());
   });
-  if (failed != nullptr) return std::nullopt;
+  if (exception != nullptr) return std::nullopt;
   return message;
 }
 
--- a/src/peer/peer.capnp
+++ b/src/peer/peer.capnp
@@ -2,7 +2,7 @@
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("reachhoist::peer::rpc");
 
-# What controllers send each other. Nothing here carries authority: that comes from the state service alone.
+# The messages between controllers. They carry no authority, since only the key-value store grants leadership.
 
 struct Message {
   from @0 :Text;
@@ -14,27 +14,28 @@
   }
 }
 
-# A worker's report that reached a controller which does not own its machine.
+# A worker's heartbeat that a controller other than the leader received and forwards to the leader.
 struct Relay {
   number @0 :UInt64;
   report @1 :Data;
 }
 
-# The owner's answer to it.
+# The leader's answer to a relayed heartbeat.
 struct Relayed {
   number @0 :UInt64;
   status @1 :UInt16;
   body @2 :Data;
 }
 
-# Sent by everyone: that the link works, who leads, and whether the state service answers the sender.
+# The heartbeat that each controller sends to each sibling. It shows that the link works, whether the sender is
+# the leader, and whether the key-value store has answered the sender recently.
 struct Hello {
   term @0 :UInt64;
   leading @1 :Bool;
   confirmed @2 :Bool;
 }
 
-# For display only: how far jobs that are not final have come.
+# The progress of the jobs that are not final. It is only displayed, and no decision depends on it.
 struct Progress {
   term @0 :UInt64;
   jobs @1 :List(JobProgress);
