--- a/src/net/http_parser.hpp
+++ b/src/net/http_parser.hpp
@@ -37,7 +37,7 @@
   void next();
   // Returns the HTTP status of the failure: 400, 413, 431, 501 or 505.
   int failureStatus() const { return failureStatus_; }
-  // Tells the parser that the peer closed the connection. This completes a response without a length, and any
+  // Must be called when the peer closes the connection. It completes a response without a length, and any
   // other incomplete message fails.
   void finish();
   // Returns whether no byte of the next message has been received.
