--- a/src/placement/slo.cpp
+++ b/src/placement/slo.cpp
@@ -47,7 +47,7 @@
       consider(objective.withinS - expectedRunTimeS * runCount);
     } else if (objective.kind == "deadline" && job.spec.deadlineS) {
       hasDeadlineObjective = true;
-      consider(*job.spec.deadlineS * (objective.times > 0 ? objective.times : 1) -
+      consider(*job.spec.deadlineS * (objective.deadlineFactor > 0 ? objective.deadlineFactor : 1) -
                expectedRunTimeS * runCount);
     }
   }
