--- a/tests/loopback/loopback_world.hpp
+++ b/tests/loopback/loopback_world.hpp
@@ -1,5 +1,5 @@
 // A test deployment in real time. Controllers and the admin daemon run as processes of their own. The
-// stand-ins of key-value store, cloud and workers serve them on loopback sockets.
+// stand-ins of key-value store, cloud, workers and users communicate with them over loopback sockets.
 #pragma once
 
 #include <filesystem>
@@ -16,7 +16,7 @@
 
 using standin::Json;
 
-// Serves the stand-ins in the test's own thread, but only while `runUntil` runs.
+// Runs the stand-ins in the test's own thread, and only within `runUntil`.
 class LoopbackWorld : public standin::World {
  public:
   LoopbackWorld(reachhoist::config::Settings settings, std::vector<standin::MachineTypeSpec> machineTypes,
--- a/tests/loopback/shares_loopback_test.cpp
+++ b/tests/loopback/shares_loopback_test.cpp
@@ -1,5 +1,5 @@
-// Fair shares with real processes: three controllers, the admin daemon and its commands. The stand-ins of the
-// key-value store, the cloud and the workers serve them on loopback sockets.
+// Fair shares with real processes: three controllers, the admin daemon and its commands. The stand-ins of
+// key-value store, cloud, workers and users communicate with them over loopback sockets.
 #include <gtest/gtest.h>
 
 #include "loopback/loopback_world.hpp"
