--- a/src/admin/rpc/commands.hpp
+++ b/src/admin/rpc/commands.hpp
@@ -18,7 +18,7 @@
 struct SetOptions {
   std::vector<std::string> shares;  // GROUP=WEIGHT: groups to add, or whose weight to replace
   std::vector<std::string> remove;  // names of the groups to remove
-  std::optional<double> others;     // weight of all work in no group; unchanged if empty
+  std::optional<double> others;     // weight of all jobs that match no group; unchanged if empty
   // The change is refused if the table's generation is another one. If empty, any generation is accepted.
   std::optional<std::uint64_t> expectedGeneration;
   std::string requestId;  // a change with the same id is applied only once; a new id is chosen if empty
--- a/src/config/operators.cpp
+++ b/src/config/operators.cpp
@@ -18,7 +18,7 @@
 
 // An option of every section that stores the parser's error message. libconfuse passes only the section to
 // the error callback, so the message is stored there.
-constexpr const char* kMessageOption = "__parser_message";
+constexpr const char* kMessageOption = "__complaint";
 
 struct CfgDeleter {
   void operator()(cfg_t* cfg) const { cfg_free(cfg); }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -85,7 +85,7 @@
 struct ShareSettings {
   bool enabled = false;
   std::uint64_t generation = 1;  // A table never replaces a stored table of a higher generation.
-  double othersWeight = 1;       // the common weight of all work that belongs to no group
+  double othersWeight = 1;       // weight of all jobs that match no group
   double reclaimStep = 0.1;      // share of the capacity that is reclaimed at once
   std::vector<ShareWeight> groups;
 };
--- a/src/fleet/snapshot.hpp
+++ b/src/fleet/snapshot.hpp
@@ -30,7 +30,7 @@
       unplaced;                                    // queued work that the last placement round has not placed
   std::set<PoolKey> refusedPools;                  // pools that have recently refused an instance request
   std::map<PoolKey, std::size_t> pendingRequests;  // requested instances, without an answer yet
-  std::set<std::string> partitionedZones;          // zones that are probably partitioned away
+  std::set<std::string> partitionedZones;          // zones that count as partitioned
   // Services on machines of those zones, whose worker leases are about to expire.
   std::vector<placement::UnplacedDemand> servicesAtRisk;
   BootHistory bootTimes{};
@@ -42,10 +42,10 @@
 bool countsTowardPool(const Machine& machine);
 
 // Whether the machine takes new work: it is up, has acknowledged its fencing token, and has no spot
-// interruption notice.
+// notice.
 bool acceptsWork(const Machine& machine);
 
-// Whether the machine is unreachable in a zone that is probably partitioned away.
+// Whether the machine is unreachable in a partitioned zone.
 bool isPartitioned(const FleetSnapshot& snapshot, const Machine& machine);
 
 }  // namespace reachhoist::fleet
--- a/src/jobs/jobs.hpp
+++ b/src/jobs/jobs.hpp
@@ -73,7 +73,7 @@
   std::uint32_t runningCount = 0;                        // placed tasks whose attempt runs
   std::uint32_t completedCount = 0;                      // tasks in the phase `completed`
   std::uint32_t firstWaitingIndex = 0;                   // no task with a lower index is waiting
-  std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> revision of its completion record
+  std::map<std::uint32_t, std::uint64_t> doneRevisions;  // chunk -> revision of its progress record
   std::set<std::uint32_t> dirtyChunks;                   // chunks with completions that are not durable yet
   FailureAttribution failures;
   Time backoffUntil{};  // a gang is not placed again before this time after a failed attempt
@@ -94,10 +94,10 @@
   void beginTracking(Time now);
   // Frees the state of the tasks and keeps their counts for display.
   void endTracking();
-  // The completion record of a chunk of `kTasksPerDoneChunk` tasks, in hex: one bit per task, lowest index
+  // The progress record of a chunk of `kTasksPerDoneChunk` tasks, in hex: one bit per task, lowest index
   // first.
   std::string encodeDoneChunk(std::uint32_t chunk) const;
-  // Marks the tasks of a completion record as completed. False if the record is malformed; tasks before the
+  // Marks the tasks of a progress record as completed. False if the record is malformed; tasks before the
   // malformed digit stay marked.
   bool loadDoneChunk(std::uint32_t chunk, const std::string& hex, std::uint64_t revision, Time now);
   // Deadline on the wall clock, in milliseconds since the epoch. The largest value if the job has none.
@@ -106,7 +106,7 @@
 
 // Key of a job's record.
 std::string jobKey(const std::string& ref);
-// Key of a job's completion record for one chunk of tasks.
+// Key of a job's progress record for one chunk of tasks.
 std::string doneKey(const std::string& ref, std::uint32_t chunk);
 // The record of an open job.
 Json encodeOpen(const Job& job);
@@ -114,13 +114,13 @@
 Json encodeFinal(const Job& job, JobPhase phase);
 
 class JobTable;
-// Whether the key is that of a completion record of a job that has ended.
+// Whether the key is that of a progress record of a job that has ended.
 bool isProgressKeyOfEndedJob(JobTable& jobs, const std::string& key);
 
 // All jobs in the key-value store, by reference. Not thread-safe.
 class JobTable {
  public:
-  // What a record has changed in the table.
+  // The effect of a record on the table.
   enum class Change { none, accepted, ended, malformed };
   // Applies a job's record. A record that is not newer than the job's revision changes nothing.
   Change apply(const std::string& ref, const Json& value, std::uint64_t revision);
--- a/src/placement/gang_placer.cpp
+++ b/src/placement/gang_placer.cpp
@@ -48,9 +48,9 @@
 }
 
 bool GangPlacer::canReserve(const Job& job) const {
-  // Fragmented capacity never adds up to a gang while other work keeps taking it. So the free capacity in the
-  // best zone, and the free part of the team's quota, is reserved for a bounded time, and again once the gang
-  // is starved.
+  // Capacity frees up in parts that are too small for a gang, and other jobs would use each part. The free
+  // capacity in the best zone, or the free part of the team's quota, is therefore reserved for a bounded
+  // time, and again once the gang is starved.
   const auto waitTime = state_.input.now - job.waitingSince;
   return reservedGangCount_ < constants::kMaxGangReservations &&
          (waitTime <= constants::kGangReservationTimeout || waitTime >= constants::kStarvationTimeout);
--- a/src/placement/task_placer.cpp
+++ b/src/placement/task_placer.cpp
@@ -18,8 +18,8 @@
 }
 
 void TaskPlacer::place(Job& job, std::uint32_t taskLimit, ShareUse use, PlacementProgress& progress) {
-  // The tasks of a job are alike. So the bins are ranked once, and after each placement only the used bin is
-  // ranked again.
+  // The tasks of a job need the same resources, so the bins are ranked once. After each placement only the
+  // used bin is ranked again.
   std::vector<BinChoice> heap = findChoices(job, use);
   const std::greater<> soonestFirst;
   std::make_heap(heap.begin(), heap.end(), soonestFirst);
@@ -42,7 +42,7 @@
     const std::size_t binIndex = heap.back().binIndex;
     heap.pop_back();
     Bin& bin = state_.bins[binIndex];
-    // Drops the bin: a zone that accepts no task of the job now accepts none for the rest of the round.
+    // The bin is dropped, because a zone that accepts no task of the job now accepts none in this round.
     if (!state_.zoneAccepts(job, bin.machine->zone)) continue;
     state_.assign(bin, job, taskIndex++);
     ++placedCount;
--- a/src/service/catalog_loader.hpp
+++ b/src/service/catalog_loader.hpp
@@ -1,18 +1,18 @@
-// Loads the catalog of machine types at startup.
+// Loads the catalogue of machine types at startup.
 #pragma once
 
 #include "service/context.hpp"
 
 namespace reachhoist::service {
 
-// Requests the catalog from the cloud until one is loaded; the leader's cloud client keeps it current from
-// then on. A copy in the key-value store serves controllers that start during an outage of the cloud.
+// Requests the catalogue from the cloud until one is loaded. From then on the leader's cloud client keeps it
+// current. A copy in the key-value store serves controllers that start during an outage of the cloud.
 class CatalogLoader {
  public:
   explicit CatalogLoader(Context& context) : context_(context) {}
   CatalogLoader(const CatalogLoader&) = delete;
 
-  // Starts a request if no catalog is loaded and no request is in flight. It must be called on each tick.
+  // Starts a request if no catalogue is loaded and no request is in flight. It must be called on each tick.
   void tick();
 
  private:
--- a/src/service/job_responses.cpp
+++ b/src/service/job_responses.cpp
@@ -3,7 +3,7 @@
 namespace reachhoist::service {
 
 Json jobStatus(const jobs::Job& job) {
-  // Only the leader tracks single tasks. The other controllers show the counts that it last sent them.
+  // Only the leader tracks single tasks. The other controllers show the counts of its last progress message.
   std::uint32_t done = job.tasks.empty() ? job.displayedCompleted : job.completedCount;
   std::uint32_t running = job.tasks.empty() ? job.displayedRunning : job.runningCount;
   if (job.phase == jobs::JobPhase::done) done = job.spec.taskCount;
