--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -13,7 +13,7 @@
 
 using reachhoist::config::FieldError;
 using reachhoist::config::Settings;
-using reachhoist::service::Level;
+using reachhoist::service::LogLevel;
 
 constexpr const char* kVersion = "reachhoist " REACHHOIST_VERSION;
 
@@ -51,21 +51,21 @@
   return reachhoist::shares::fromOperators(settings, table);
 }
 
-Level levelFromEnvironment() {
+LogLevel levelFromEnvironment() {
   const char* variable = std::getenv("LOG_LEVEL");
   const std::string level = variable != nullptr ? variable : "info";
-  if (level == "error") return Level::error;
-  if (level == "debug") return Level::debug;
-  return Level::info;
+  if (level == "error") return LogLevel::error;
+  if (level == "debug") return LogLevel::debug;
+  return LogLevel::info;
 }
 
-spdlog::level::level_enum toSpdlog(Level level) {
+spdlog::level::level_enum toSpdlog(LogLevel level) {
   switch (level) {
-    case Level::error:
+    case LogLevel::error:
       return spdlog::level::err;
-    case Level::info:
+    case LogLevel::info:
       return spdlog::level::info;
-    case Level::debug:
+    case LogLevel::debug:
       return spdlog::level::debug;
   }
   return spdlog::level::info;
@@ -73,12 +73,12 @@
 
 // Serves until a signal ends the process. Returns, with the exit status, only if the controller can't run.
 int serve(const Settings& settings) {
-  const Level level = levelFromEnvironment();
+  const LogLevel level = levelFromEnvironment();
   spdlog::logger logger("reachhoist", std::make_shared<spdlog::sinks::stderr_sink_st>());
   logger.set_level(toSpdlog(level));
   logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
   logger.flush_on(spdlog::level::debug);
-  const auto sink = [&logger](Level lineLevel, const std::string& line) {
+  const auto sink = [&logger](LogLevel lineLevel, const std::string& line) {
     logger.log(toSpdlog(lineLevel), line);
   };
   reachhoist::service::Runtime runtime(settings, level, sink);
--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -60,7 +60,7 @@
 // All workers connect at once when the leader changes. The operating system clamps the value.
 inline constexpr int kListenBacklog = 4096;
 // --- HTTP client -----------------------------------------------------------------------------------------
-// Leaves time for three retransmissions on these networks.
+// A connection attempt fails after this time, which allows three retransmissions on these networks.
 inline constexpr milliseconds kConnectTimeout = 1500ms;
 inline constexpr std::size_t kMaxIdleConnectionsPerEndpoint = 4;
 // The client closes idle connections after this time.
@@ -81,7 +81,7 @@
 inline constexpr unsigned kMinConnections = 240;
 // --- Links between controllers ---------------------------------------------------------------------------
 inline constexpr std::size_t kMaxPeerFrameBytes = 256 * 1024;
-// Each job takes some 60 bytes of the message.
+// Limits the jobs in one progress message. Each job takes some 60 bytes.
 inline constexpr std::size_t kMaxJobsPerProgressMessage = 2000;
 // A peer link drops messages while more bytes than this are queued.
 inline constexpr std::size_t kMaxPeerBacklogBytes = 512 * 1024;
@@ -193,7 +193,7 @@
 inline constexpr int kMedianBootTimeoutFactor = 4;
 // Multiplies the boot timeout of a machine whose launch cohort is not up either.
 inline constexpr int kSlowCohortTimeoutFactor = 2;
-// Older boots do not predict the next.
+// Boots older than this do not predict the next ones.
 inline constexpr milliseconds kBootHistoryWindow = 5min;
 // Limits the boots remembered per machine type and zone.
 inline constexpr std::size_t kMaxBootsPerPool = 64;
@@ -214,10 +214,10 @@
 inline constexpr milliseconds kMaxJobErrorBackoff = 30s;
 // Limits the doublings of kJobErrorBackoff.
 inline constexpr int kMaxJobErrorDoublings = 4;
-// A job that has failed on this many machines counts as faulty itself.
-inline constexpr std::size_t kFaultyJobMachines = 3;
-// This many tasks of a faulty job are tried at once, so that few machines are used.
-inline constexpr std::uint32_t kFaultyJobTrialTasks = 2;
+// A job whose tasks have failed on this many machines counts as at fault.
+inline constexpr std::size_t kJobAtFaultMachines = 3;
+// At most this many tasks of a job at fault are retried at once, so that they occupy few machines.
+inline constexpr std::uint32_t kJobAtFaultTrialTasks = 2;
 // Limits the machines remembered per job on which the job has failed.
 inline constexpr std::size_t kMaxFailureHosts = 32;
 // --- Instance list and catalogue ---------------------------------------------------------------------------
@@ -269,7 +269,8 @@
 inline constexpr double kRunTimeEstimateSlackShare = 0.5;
 // Start time SLO of jobs for which the operators configure none.
 inline constexpr milliseconds kDefaultStartSlo = 5min;
-// A job that has started no task for this long goes first. The largest jobs have 240 s.
+// A job that has started no task for this long counts as starved. The largest jobs of a class must start
+// within 240 s.
 inline constexpr milliseconds kStarvationTimeout = 150s;
 // A starved job gets one of this many parts of its tasks at once.
 inline constexpr std::uint32_t kStarvedJobDivisor = 8;
@@ -378,11 +379,11 @@
 // === Fair-share tables: limits of a table and the pace of its convergence
 // Limits the groups of a table, so that its record stays below the value size limit.
 inline constexpr std::size_t kMaxShareGroups = 64;
-// Ratios beyond this are mistakes.
+// A larger weight is assumed to be a mistake.
 inline constexpr double kMaxShareWeight = 1e6;
 // This many change requests are remembered, to recognise repeated (idempotent) requests.
 inline constexpr std::size_t kShareRequestHistory = 8;
-// Leaves room for a UUID and a little more.
+// A UUID takes 36 bytes.
 inline constexpr std::size_t kMaxShareRequestIdBytes = 40;
 // Longest time between a worker's heartbeats, as a factor of the heartbeat interval.
 inline constexpr double kHeartbeatJitterFactor = 1.25;
--- a/src/fleet/pending_instances.cpp
+++ b/src/fleet/pending_instances.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 // The catalogue's boot time of the machine's type, or zero for a type that the catalogue no longer offers.
-double catalogBootTimeS(const FleetSnapshot& snapshot, const Machine& machine) {
-  double nominalBootTimeS = 0;
+double nominalBootTimeS(const FleetSnapshot& snapshot, const Machine& machine) {
+  double bootTimeS = 0;
   for (const wire::MachineType& machineType : snapshot.catalog)
-    if (machineType.name == machine.machineType) nominalBootTimeS = machineType.nominalBootTimeS;
-  return nominalBootTimeS;
+    if (machineType.name == machine.machineType) bootTimeS = machineType.nominalBootTimeS;
+  return bootTimeS;
 }
 
 }  // namespace
@@ -25,7 +25,7 @@
 bool isStraggler(const FleetSnapshot& snapshot, const BootCohorts& cohorts, const Machine& machine) {
   if (machine.phase != MachinePhase::booting) return false;
   const auto expected = snapshot.bootTimes.expectedBootTime(
-      machine.machineType, machine.zone, catalogBootTimeS(snapshot, machine), snapshot.now);
+      machine.machineType, machine.zone, nominalBootTimeS(snapshot, machine), snapshot.now);
   return snapshot.now - machine.provisionedAt > expected && cohorts.lagsCohort(machine);
 }
 
@@ -52,20 +52,20 @@
 void packInto(QueuedWork& queued, PendingInstance& instance) {
   const wire::JobSpec& spec = queued.demand.job->spec;
   if (!placement::isEligible(spec, instance.pool.machineType, instance.pool.zone, instance.pool.spot)) return;
-  while (queued.demand.tasks > 0 && spec.taskResources.fitsIn(instance.free) &&
+  while (queued.demand.taskCount > 0 && spec.taskResources.fitsIn(instance.free) &&
          placement::zoneSpreadAllows(spec, queued.tasksByZone, instance.pool.zone)) {
     instance.free -= spec.taskResources;
     ++queued.tasksByZone[instance.pool.zone];
-    --queued.demand.tasks;
+    --queued.demand.taskCount;
   }
 }
 
 bool packIntoAny(QueuedWork& queued, std::vector<PendingInstance>& instances) {
   for (PendingInstance& instance : instances) {
-    if (queued.demand.tasks == 0) break;
+    if (queued.demand.taskCount == 0) break;
     packInto(queued, instance);
   }
-  return queued.demand.tasks == 0;
+  return queued.demand.taskCount == 0;
 }
 
 bool inScaleOutBackoff(const FleetSnapshot& snapshot, const placement::UnplacedDemand& demand) {
@@ -76,7 +76,7 @@
                                    const std::vector<placement::UnplacedDemand>& work,
                                    bool countPartitioned) {
   std::vector<QueuedWork> queue;
-  std::unordered_map<std::string_view, ZoneCount*> zoneCounts;  // of the jobs with zone constraints
+  std::unordered_map<std::string_view, ZoneCounts*> zoneCounts;  // of the jobs with zone constraints
   queue.reserve(work.size());
   for (const placement::UnplacedDemand& demand : work) {
     queue.push_back(QueuedWork{demand, {}});
--- a/src/fleet/pending_instances.hpp
+++ b/src/fleet/pending_instances.hpp
@@ -11,7 +11,7 @@
 namespace reachhoist::fleet {
 
 // The number of a job's tasks per zone.
-using ZoneCount = std::map<std::string, std::uint32_t>;
+using ZoneCounts = std::map<std::string, std::uint32_t>;
 
 // An instance that will take work soon (requested, booting, or up but not yet reconciled), with the part of
 // its capacity that no task has claimed yet.
@@ -24,7 +24,7 @@
 // zone constraints.
 struct QueuedWork {
   placement::UnplacedDemand demand;
-  ZoneCount tasksByZone;
+  ZoneCounts tasksByZone;
 };
 
 // Whether a booting machine is past its expected boot time while most of its launch cohort is up. Such a
--- a/src/fleet/pools.cpp
+++ b/src/fleet/pools.cpp
@@ -42,7 +42,7 @@
     ++view.machines;
     if (isStraggler(snapshot, cohorts, *machine)) ++view.overdueBoots;
     if (machine->phase != machines::MachinePhase::up) continue;
-    if (machine->empty()) {
+    if (machine->isIdle()) {
       ++view.idleMachines;
       if (Headroom& headroom = headroomByPool.try_emplace(found->first, snapshot).first->second;
           headroom.allowsRelease(*machine)) {
@@ -63,7 +63,7 @@
     if (!placement::isEligible(demand.job->spec, view.key.machineType, view.key.zone, view.key.spot))
       continue;
     view.queueWaitS = std::max(view.queueWaitS, wire::toSeconds(snapshot.now - demand.job->waitingSince));
-    view.queuedTasks += static_cast<int>(demand.tasks);
+    view.queuedTasks += static_cast<int>(demand.taskCount);
   }
 }
 
--- a/src/fleet/reserve.cpp
+++ b/src/fleet/reserve.cpp
@@ -30,7 +30,7 @@
   std::map<std::string, double> freeCpusByZone;
 };
 
-// Adds an on-demand machine that accepts work and is not partitioned away.
+// Adds an on-demand machine that accepts work and is not partitioned.
 void addMachine(const Machine& machine, OnDemandCapacity& capacity) {
   double heldCpus = 0;
   for (const machines::Attempt& attempt : machine.attempts)
@@ -53,7 +53,7 @@
   }
   for (const placement::UnplacedDemand& demand : snapshot.unplaced)
     if (needsReserve(demand.job->spec) && !inScaleOutBackoff(snapshot, demand))
-      capacity.freeCpus -= demand.job->spec.taskResources.vcpus * demand.tasks;
+      capacity.freeCpus -= demand.job->spec.taskResources.vcpus * demand.taskCount;
   return capacity;
 }
 
--- a/src/fleet/scale_in.cpp
+++ b/src/fleet/scale_in.cpp
@@ -52,7 +52,7 @@
 // elsewhere. Job array tasks can run to their end.
 bool isMovable(const FleetSnapshot& snapshot, const Machine& machine, const ConsolidationPool& pool) {
   // Empty machines are left to the scale-in of idle machines.
-  if (machine.empty() || machine.transactionInFlight ||
+  if (machine.isIdle() || machine.transactionInFlight ||
       snapshot.now - machine.upSince < constants::kConsolidationMinAge)
     return false;
   for (const machines::Attempt& attempt : machine.attempts) {
--- a/src/fleet/sizing.cpp
+++ b/src/fleet/sizing.cpp
@@ -127,13 +127,13 @@
   state.unscored.reset();
 }
 
-Json Sizing::encode(std::size_t valueSizeLimit) const {
+Json Sizing::encode(std::size_t valueSizeLimitBytes) const {
   Json points = Json::array();
   for (const ParetoPoint& point : frontier_.points()) points.push_back(Json::array({point.wait, point.cost}));
   Json state{{"episodes", Json::array()}, {"frontier", std::move(points)}, {"probe", probeChance_}};
   for (std::size_t limit = constants::kMaxStoredEpisodes; limit > 0; limit /= 2) {
     state["episodes"] = buffer_.encode(limit);
-    if (state.dump().size() <= valueSizeLimit) break;
+    if (state.dump().size() <= valueSizeLimitBytes) break;
     state["episodes"] = Json::array();
   }
   return state;
--- a/src/fleet/sizing.hpp
+++ b/src/fleet/sizing.hpp
@@ -46,8 +46,8 @@
   const EpisodeBuffer& buffer() const { return buffer_; }
   const ParetoFrontier& frontier() const { return frontier_; }
   double probeChance() const { return probeChance_; }
-  // The state for a new leader, with as many episodes as fit into `valueSizeLimit` bytes of JSON.
-  Json encode(std::size_t valueSizeLimit) const;
+  // The state for a new leader, with as many episodes as fit into `valueSizeLimitBytes` of JSON.
+  Json encode(std::size_t valueSizeLimitBytes) const;
   // Restores such a state. Returns false and changes nothing if it is malformed.
   bool decode(const Json& value);
 
--- a/src/fleet/unplaced_demand.cpp
+++ b/src/fleet/unplaced_demand.cpp
@@ -71,7 +71,7 @@
     state_.pending = pendingInstances(snapshot);
     for (const Machine* machine : snapshot.machines)
       if (countsTowardPool(*machine)) ++state_.poolSizes[poolOf(*machine)];
-    // Instances in a zone that is partitioned away are of no use. Such zones count only if there is no other.
+    // Instances in a partitioned zone are of no use, so such zones are considered only if there is no other.
     hasReachableZone_ = std::any_of(pools_.begin(), pools_.end(), [&](const PoolOffer& pool) {
       return !snapshot.partitionedZones.contains(pool.key.zone);
     });
@@ -96,9 +96,9 @@
 
  private:
   void pack(QueuedWork& queued) {
-    for (std::size_t i = firstRequested_; i < state_.pending.size() && queued.demand.tasks > 0; ++i)
+    for (std::size_t i = firstRequested_; i < state_.pending.size() && queued.demand.taskCount > 0; ++i)
       packInto(queued, state_.pending[i]);
-    while (queued.demand.tasks > 0) {
+    while (queued.demand.taskCount > 0) {
       const PoolOffer* pool = cheapest(queued);
       if (pool == nullptr) return;
       ++state_.counts[pool->key];
@@ -113,7 +113,7 @@
     const jobs::Job& job = *queued.demand.job;
     const PackState before = state_;
     pack(queued);
-    if (queued.demand.tasks > 0) {
+    if (queued.demand.taskCount > 0) {
       state_ = before;
       return;
     }
@@ -140,7 +140,7 @@
   double taskCost(const QueuedWork& queued, const PoolOffer& pool, int fit) const {
     const auto& [key, machineType] = pool;
     const auto size = state_.poolSizes.find(key);
-    return hourlyPrice(*machineType, key.spot) / std::min(fit, static_cast<int>(queued.demand.tasks)) *
+    return hourlyPrice(*machineType, key.spot) / std::min(fit, static_cast<int>(queued.demand.taskCount)) *
            snapshot_.bootTimes.costFactor(key.machineType, key.zone, snapshot_.now) *
            (1 + kSpreadWeight * (size == state_.poolSizes.end() ? 0 : size->second));
   }
--- a/src/jobs/failures.cpp
+++ b/src/jobs/failures.cpp
@@ -13,7 +13,7 @@
   longestRun_ = std::max(longestRun_, runTime);
 }
 
-bool FailureAttribution::isWidespread() const { return hosts_.size() >= constants::kFaultyJobMachines; }
+bool FailureAttribution::isWidespread() const { return hosts_.size() >= constants::kJobAtFaultMachines; }
 
 void FailureAttribution::attributeToJob(Time now) {
   // Tasks that were started together also fail together, so they count as one retry.
--- a/src/machines/machines.cpp
+++ b/src/machines/machines.cpp
@@ -5,7 +5,7 @@
 
 namespace reachhoist::machines {
 
-double Attempt::stopGraceS() const {
+double Attempt::stopGracePeriodS() const {
   return canCheckpoint ? checkpointDurationS + constants::kCheckpointGraceMarginS : 0;
 }
 
@@ -32,13 +32,13 @@
   return free;
 }
 
-void MachineFaults::clearSuspicion() {
+void MachineFailures::clearSuspicion() {
   consecutiveErrors = 0;
   failedJobs.clear();
   suspectUntil = {};
 }
 
-bool Machine::empty() const {
+bool Machine::isIdle() const {
   return std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.holdsCapacity(); });
 }
 
--- a/src/machines/machines.hpp
+++ b/src/machines/machines.hpp
@@ -59,7 +59,7 @@
   // Whether the task's process exists on the machine.
   bool isExecuting() const { return phase == AttemptPhase::running || phase == AttemptPhase::checkpointing; }
   // Grace period for a stop in seconds: long enough for a checkpoint, or 0 if the task writes none.
-  double stopGraceS() const;
+  double stopGracePeriodS() const;
   // The only function that changes the phase.
   void setPhase(AttemptPhase next, Time now);
 };
@@ -94,8 +94,8 @@
   Time nextSendAt{};   // no command is sent before this time
 };
 
-// Failures of tasks on a machine, until it is decided whether the machine or the jobs are at fault.
-struct MachineFaults {
+// The failures of tasks on a machine that are not attributed to their jobs.
+struct MachineFailures {
   int consecutiveErrors = 0;
   std::set<std::string> failedJobs;  // references of the jobs whose tasks failed
   Time suspectUntil{};               // the machine gets no new work before this time
@@ -123,7 +123,7 @@
   bool transactionInFlight = false;         // a transaction that concerns the machine is under way
   WorkerContact contact;
   DirectCommands directCommands;
-  MachineFaults faults;
+  MachineFailures failures;
   const char* decommissionReason = "";
   Time provisionedAt{};  // time of its instance request
   Time upSince{};
@@ -136,8 +136,8 @@
   // The only function that changes the phase.
   void setPhase(MachinePhase next, Time now);
   wire::Resources freeCapacity() const;
-  // Whether no attempt holds capacity.
-  bool empty() const;
+  // Whether no attempt holds capacity. The machine can still list ended attempts.
+  bool isIdle() const;
   // The attempt, or null if the machine has none like it.
   Attempt* find(const wire::TaskId& task, std::uint64_t number);
   // Whether an attempt that holds capacity on the machine pulls or uses the image.
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -56,7 +56,7 @@
   batch.hosts = std::move(hosts);
 }
 
-std::vector<std::uint32_t> PlacementBatchTable::batchesNaming(const std::string& host) const {
+std::vector<std::uint32_t> PlacementBatchTable::batchesContaining(const std::string& host) const {
   std::vector<std::uint32_t> numbers;
   for (const auto& [number, batch] : batches_)
     if (batch.hosts.contains(host)) numbers.push_back(number);
@@ -90,7 +90,7 @@
     return number;
   };
   for (const std::uint32_t number : roundBatches)
-    if (batches_[number].estimatedBytes + bytes <= valueSizeLimit_) return addTo(number);
+    if (batches_[number].estimatedBytes + bytes <= valueSizeLimitBytes_) return addTo(number);
   if (roundBatches.size() >= maxRoundBatches) return std::nullopt;
   if (const auto emptiest = emptiestBatch(roundBatches)) return addTo(*emptiest);
   const std::uint32_t added = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
@@ -104,7 +104,7 @@
   std::optional<std::uint32_t> emptiest;
   std::size_t leastBytes = 0;
   for (const auto& [number, batch] : batches_) {
-    if (roundBatches.contains(number) || batch.estimatedBytes > valueSizeLimit_ / 2) continue;
+    if (roundBatches.contains(number) || batch.estimatedBytes > valueSizeLimitBytes_ / 2) continue;
     if (emptiest && batch.estimatedBytes >= leastBytes) continue;
     emptiest = number;
     leastBytes = batch.estimatedBytes;
--- a/src/machines/placement_batches.hpp
+++ b/src/machines/placement_batches.hpp
@@ -44,8 +44,8 @@
 // The placement batches of the leader. Not thread-safe.
 class PlacementBatchTable {
  public:
-  // `valueSizeLimit` is the largest size of a batch in bytes, derived from the store's value size limit.
-  explicit PlacementBatchTable(std::size_t valueSizeLimit) : valueSizeLimit_(valueSizeLimit) {}
+  // `valueSizeLimitBytes` is the largest size of a batch, derived from the store's value size limit.
+  explicit PlacementBatchTable(std::size_t valueSizeLimitBytes) : valueSizeLimitBytes_(valueSizeLimitBytes) {}
 
   void clear() { batches_.clear(); }
   // Records the stored state of a batch after it has been loaded or written.
@@ -53,7 +53,7 @@
   // The revision of the stored batch; 0 if there is none.
   std::uint64_t revision(std::uint32_t number) const;
   // The numbers of the batches whose stored value names the machine.
-  std::vector<std::uint32_t> batchesNaming(const std::string& host) const;
+  std::vector<std::uint32_t> batchesContaining(const std::string& host) const;
   std::size_t size() const { return batches_.size(); }
 
   // Recomputes the estimated size of each batch's next value.
@@ -79,12 +79,12 @@
   // attempt.
   bool moveExcess(Machine& machine, std::uint32_t number, std::set<std::uint32_t>& roundBatches,
                   std::size_t maxRoundBatches);
-  bool fits(std::uint32_t number) { return batches_[number].estimatedBytes <= valueSizeLimit_; }
+  bool fits(std::uint32_t number) { return batches_[number].estimatedBytes <= valueSizeLimitBytes_; }
   // The emptiest batch that the round does not write yet, if it is at most half full.
   std::optional<std::uint32_t> emptiestBatch(const std::set<std::uint32_t>& roundBatches) const;
 
   std::map<std::uint32_t, PlacementBatch> batches_;
-  std::size_t valueSizeLimit_;
+  std::size_t valueSizeLimitBytes_;
 };
 
 }  // namespace reachhoist::machines
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -32,10 +32,10 @@
   double gracePeriodS = 0;  // time that the stop command allows for a checkpoint
 };
 
-// Tasks of a job that found no capacity; input to the sizing of the fleet.
+// The number of tasks of a job for which a round found no capacity. The sizing of the fleet uses it.
 struct UnplacedDemand {
   const Job* job = nullptr;
-  std::uint32_t tasks = 0;
+  std::uint32_t taskCount = 0;
 };
 
 // The decisions of one placement round.
@@ -43,8 +43,8 @@
   std::vector<Assignment> assignments;
   std::vector<Preemption> preemptions;
   std::vector<UnplacedDemand> unplaced;
-  bool triedSharePreemption = false;  // the round searched for attempts to preempt for fair shares
-  std::size_t sharePreemptions = 0;   // number of preemptions for fair shares; a preempted gang counts once
+  bool searchedForShareVictims = false;  // the round searched for attempts to preempt for fair shares
+  std::size_t sharePreemptions = 0;  // number of preemptions for fair shares; a preempted gang counts once
 };
 
 // The input of one placement round. Everything that it points to must outlive the round and its plan.
--- a/src/placement/round.cpp
+++ b/src/placement/round.cpp
@@ -65,9 +65,9 @@
 }
 
 void Round::retryJobAtFault(Job& job) {
-  if (job.placedCount >= constants::kFaultyJobTrialTasks) return;
+  if (job.placedCount >= constants::kJobAtFaultTrialTasks) return;
   PlacementProgress progress{job.firstWaitingIndex, 0, PlacementLimit::none};
-  placeUpTo(job, constants::kFaultyJobTrialTasks - job.placedCount, ShareUse::withinShare, progress);
+  placeUpTo(job, constants::kJobAtFaultTrialTasks - job.placedCount, ShareUse::withinShare, progress);
 }
 
 void Round::placeUpTo(Job& job, std::uint32_t taskLimit, ShareUse use, PlacementProgress& progress) {
--- a/src/placement/round_state.cpp
+++ b/src/placement/round_state.cpp
@@ -65,10 +65,10 @@
 }
 
 bool RoundState::isSchedulable(const Machine& machine) const {
-  if (machine.phase != machines::MachinePhase::up || machine.faults.quarantined) return false;
+  if (machine.phase != machines::MachinePhase::up || machine.failures.quarantined) return false;
   // A machine accepts work only after contact in both directions in this term. Records, delayed copies of
   // heartbeats and contact in one direction are not enough.
-  if (!machine.contact.tokenAcknowledged || machine.faults.suspectUntil > input.now) return false;
+  if (!machine.contact.tokenAcknowledged || machine.failures.suspectUntil > input.now) return false;
   const auto maxHeartbeatAge =
       wire::seconds(input.settings.workers.heartbeatIntervalS * constants::kMissedHeartbeatIntervals);
   return input.now - machine.contact.lastHeartbeatAt <= maxHeartbeatAge && !machine.spotNoticeAt;
@@ -110,7 +110,7 @@
 
 void RoundState::preempt(Machine& machine, const machines::Attempt& attempt) {
   preemptedAttempts.insert(attempt.number);
-  plan.preemptions.push_back(Preemption{&machine, attempt.task, attempt.number, attempt.stopGraceS()});
+  plan.preemptions.push_back(Preemption{&machine, attempt.task, attempt.number, attempt.stopGracePeriodS()});
 }
 
 }  // namespace reachhoist::placement
--- a/src/placement/share_preemptor.cpp
+++ b/src/placement/share_preemptor.cpp
@@ -18,7 +18,7 @@
   coveredTasks += pendingTasks;
   if (!state_.input.canPreemptForShares || coveredTasks >= taskCount || !canPreemptMore(job)) return;
   if (!state_.shareAccount->hasGroupAboveEntitlement() || foundNoVictimsBefore(job)) return;
-  state_.plan.triedSharePreemption = true;
+  state_.plan.searchedForShareVictims = true;
   std::vector<Candidate> candidates = findCandidates(job);
   const bool canRunAnywhere = !job.spec.allowedMachineTypes && !job.spec.requiredZone &&
                               !job.spec.singleZone && !job.spec.spreadZones;
@@ -48,7 +48,7 @@
     std::pop_heap(heap.begin(), heap.end());
     const Candidate ranked = std::move(heap.back());
     heap.pop_back();
-    // Computes the candidate again, since preemptions after the ranking can have changed the victims here.
+    // The candidate is computed again, since preemptions after the ranking can have changed its victims.
     auto candidate = findCandidate(job, ranked.binIndex);
     if (!candidate) continue;
     if (candidate->costS <= ranked.costS) {
--- a/src/service/catalog_loader.cpp
+++ b/src/service/catalog_loader.cpp
@@ -45,7 +45,7 @@
   if (!result.ok() || value == nullptr || context_.catalog) return;
   auto catalog = wire::decodeCatalog(*value);
   if (!catalog) {
-    context_.event(Level::error, "bad_record", {{"key", kCatalogKey}, {"why", catalog.reason()}});
+    context_.logEvent(LogLevel::error, "bad_record", {{"key", kCatalogKey}, {"why", catalog.reason()}});
     return;
   }
   context_.catalog = std::move(*catalog);
--- a/src/service/context.cpp
+++ b/src/service/context.cpp
@@ -4,10 +4,11 @@
 
 namespace reachhoist::service {
 
-Context::Context(const config::Settings& controllerSettings, Level logLevel, LogSink sink)
+Context::Context(const config::Settings& controllerSettings, LogLevel logLevel, LogSink sink)
     : settings(controllerSettings), state(calls, settings), level(logLevel), logSink(std::move(sink)) {}
 
-void Context::event(Level lineLevel, std::string_view name, std::initializer_list<LogField> fields) const {
+void Context::logEvent(LogLevel lineLevel, std::string_view name,
+                       std::initializer_list<LogField> fields) const {
   if (!isLogged(lineLevel)) return;
   std::string line = "event=" + std::string(name);
   for (const LogField& field : fields) line.append(" ").append(field.key).append("=").append(field.value);
@@ -15,7 +16,7 @@
 }
 
 void Context::reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS) {
-  replies.push_back(Reply{request, status, std::move(body), retryAfterS});
+  responses.push_back(Response{request, status, std::move(body), retryAfterS});
 }
 
 void Context::replyError(std::uint64_t request, int status, const std::string& error) {
--- a/src/service/context.hpp
+++ b/src/service/context.hpp
@@ -1,4 +1,4 @@
-// The state that all components of one controller share: settings, current time, outgoing calls, replies,
+// The state that all components of one controller share: settings, current time, outgoing calls, responses,
 // messages to siblings, and the log.
 #pragma once
 
@@ -22,10 +22,10 @@
 using wire::Time;
 
 // The log levels, the most important one first.
-enum class Level { error, info, debug };
+enum class LogLevel { error, info, debug };
 
 // An HTTP response to one request of a user or worker.
-struct Reply {
+struct Response {
   std::uint64_t request = 0;               // number of the request, as given in Request
   int status = http::kServiceUnavailable;  // HTTP status
   Json body;                               // null if the response has no body
@@ -52,10 +52,10 @@
 // Components read the current time here and queue their output here. Controller::drain() collects the output.
 // Context is not thread-safe.
 struct Context {
-  using LogSink = std::function<void(Level, const std::string&)>;
+  using LogSink = std::function<void(LogLevel, const std::string&)>;
 
   // `controllerSettings` must outlive the context. Lines less important than `logLevel` are dropped.
-  Context(const config::Settings& controllerSettings, Level logLevel, LogSink sink);
+  Context(const config::Settings& controllerSettings, LogLevel logLevel, LogSink sink);
   Context(const Context&) = delete;
 
   const config::Settings& settings;
@@ -70,15 +70,15 @@
   Time lastConfirmedSiblingHeartbeatAt{};  // receipt of one whose sender reaches the key-value store
   std::optional<std::vector<wire::MachineType>> catalog;  // machine types; unset until they are loaded
   std::optional<shares::Table> shares;            // fair-share table in force; unset if shares are off
-  std::vector<Reply> replies;                     // queued responses
+  std::vector<Response> responses;                // queued responses
   std::vector<OutgoingPeerMessage> peerMessages;  // queued messages to siblings
-  Level level;
+  LogLevel level;
   LogSink logSink;
 
   // Returns whether lines of this level are logged, so that callers can skip the building of costly fields.
-  bool isLogged(Level lineLevel) const { return lineLevel <= level; }
+  bool isLogged(LogLevel lineLevel) const { return lineLevel <= level; }
   // Logs one line of the form `event=NAME key=value ...`.
-  void event(Level lineLevel, std::string_view name, std::initializer_list<LogField> fields = {}) const;
+  void logEvent(LogLevel lineLevel, std::string_view name, std::initializer_list<LogField> fields = {}) const;
   // Queues a response to a request.
   void reply(std::uint64_t request, int status, Json body, std::optional<int> retryAfterS = std::nullopt);
   // Queues a response whose body holds the error text.
--- a/src/service/controller.cpp
+++ b/src/service/controller.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Controller::Controller(const config::Settings& settings, std::uint64_t seed, Level level,
+Controller::Controller(const config::Settings& settings, std::uint64_t seed, LogLevel level,
                        Context::LogSink sink)
     : settings_(settings),
       context_(settings, level, std::move(sink)),
@@ -59,15 +59,15 @@
   // changes its own state.
   const auto elected = [this](std::uint64_t term, const std::vector<std::uint64_t>& partitionRevisions) {
     pendingLeadershipChange_ = LeadershipChange{term, partitionRevisions};
-    context_.event(Level::info, "elected", {{"term", term}});
+    context_.logEvent(LogLevel::info, "elected", {{"term", term}});
   };
   const auto deposed = [this](const char* reason) {
     pendingLeadershipChange_ = LeadershipChange{};
-    context_.event(Level::info, "deposed", {{"why", reason}});
+    context_.logEvent(LogLevel::info, "deposed", {{"why", reason}});
   };
   const auto layoutUnsupported = [this](std::uint64_t layout) {
-    context_.event(Level::error, "layout_unsupported",
-                   {{"found", layout}, {"readable", constants::kRecordLayout}});
+    context_.logEvent(LogLevel::error, "layout_unsupported",
+                      {{"found", layout}, {"readable", constants::kRecordLayout}});
   };
   return {elected, deposed, layoutUnsupported};
 }
@@ -80,7 +80,7 @@
 
 void Controller::onJobChange(jobs::JobTable::Change change, const std::string& ref) {
   using Change = jobs::JobTable::Change;
-  if (change == Change::malformed) context_.event(Level::error, "bad_record", {{"job", ref}});
+  if (change == Change::malformed) context_.logEvent(LogLevel::error, "bad_record", {{"job", ref}});
   Leader* leader = activeLeader();
   if (leader == nullptr) return;
   if (change == Change::accepted) leader->onJobAccepted(*jobs_.find(ref));
@@ -99,14 +99,14 @@
 
 void Controller::onResumed(wire::Duration suspendedFor) {
   context_.resumedAt = context_.now;
-  context_.event(Level::info, "resumed", {{"away_s", wire::toSeconds(suspendedFor)}});
+  context_.logEvent(LogLevel::info, "resumed", {{"away_s", wire::toSeconds(suspendedFor)}});
   siblings_.onResumed(suspendedFor);
   if (leader_) leader_->onResumed(suspendedFor);
 }
 
 void Controller::start(Time now, std::int64_t wallClockMs) {
   beginEvent(now, wallClockMs);
-  context_.event(Level::info, "start", {{"label", settings_.label}});
+  context_.logEvent(LogLevel::info, "start", {{"label", settings_.label}});
   jobFeed_.start(now);
   leadership_.start(now);
   if (shares_) shares_->start();
@@ -135,7 +135,7 @@
 Actions Controller::drain() {
   Actions actions;
   actions.calls = context_.calls.drain();
-  actions.replies = std::exchange(context_.replies, {});
+  actions.responses = std::exchange(context_.responses, {});
   actions.peerMessages = std::exchange(context_.peerMessages, {});
   return actions;
 }
@@ -196,13 +196,13 @@
 void Controller::onWorkerHeartbeat(std::uint64_t request, const std::string& body) {
   const auto heartbeat = decodeHeartbeatBody(body);
   if (!heartbeat) {
-    context_.event(Level::info, "bad_heartbeat", {{"why", heartbeat.reason()}});
+    context_.logEvent(LogLevel::info, "bad_heartbeat", {{"why", heartbeat.reason()}});
     return context_.replyError(request, http::kBadRequest, heartbeat.reason());
   }
   if (!leadership_.isLeading()) return heartbeatRelay_.redirectOrRelay(request, *heartbeat, body);
   Leader* leader = activeLeader();
   if (leader == nullptr) return context_.replyTryAgain(request);
-  auto response = leader->onHeartbeat(*heartbeat, HeartbeatSource::heartbeat);
+  auto response = leader->onHeartbeat(*heartbeat, HeartbeatSource::worker);
   if (response.status != http::kOk) return context_.replyTryAgain(request);
   context_.reply(request, http::kOk, std::move(response.body));
 }
@@ -220,10 +220,10 @@
   const auto heartbeat = decodeHeartbeatBody(request.heartbeat);
   Leader* leader = activeLeader();
   if (heartbeat && leader != nullptr) {
-    const auto answer = leader->onHeartbeat(*heartbeat, HeartbeatSource::relay);
-    if (context_.isLogged(Level::debug))
-      context_.event(Level::debug, "relayed",
-                     {{"machine", heartbeat->host.text}, {"through", from}, {"status", answer.status}});
+    const auto answer = leader->onHeartbeat(*heartbeat, HeartbeatSource::siblingRelay);
+    if (context_.isLogged(LogLevel::debug))
+      context_.logEvent(LogLevel::debug, "relayed",
+                        {{"machine", heartbeat->host.text}, {"through", from}, {"status", answer.status}});
     response.status = answer.status;
     if (answer.status == http::kOk) response.body = wire::encodeBody(answer.body);
   }
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -21,7 +21,7 @@
 
 // An HTTP request of a user or a worker.
 struct Request {
-  std::uint64_t number = 0;  // identifies the request in its Reply
+  std::uint64_t number = 0;  // identifies the request in its Response
   std::string method;
   std::string target;  // path, optionally with a query string
   std::string body;
@@ -30,7 +30,7 @@
 // The output of a controller. The caller carries out the calls and reports their results with onResult().
 struct Actions {
   std::vector<wire::Call> calls;
-  std::vector<Reply> replies;
+  std::vector<Response> responses;
   std::vector<OutgoingPeerMessage> peerMessages;
 };
 
@@ -41,7 +41,7 @@
  public:
   // `settings` must outlive the controller. `seed` seeds the random jitter of elections. `sink` receives the
   // log lines up to `level`.
-  Controller(const config::Settings& settings, std::uint64_t seed, Level level, Context::LogSink sink);
+  Controller(const config::Settings& settings, std::uint64_t seed, LogLevel level, Context::LogSink sink);
   Controller(const Controller&) = delete;
 
   // Starts all components. It must be called once, before any other event.
--- a/src/service/job_admission.cpp
+++ b/src/service/job_admission.cpp
@@ -10,7 +10,7 @@
 
 using Catalog = std::vector<wire::MachineType>;
 
-constexpr double kBytesPerKb = 1024;
+constexpr double kBytesPerKib = 1024;
 
 bool isOfferedInZone(const wire::MachineType& machineType, const std::optional<std::string>& zone) {
   const auto& zones = machineType.zones;
@@ -57,7 +57,7 @@
   jobs::Job job;
   job.spec = spec;
   const auto bytes = static_cast<double>(jobs::encodeOpen(job).dump().size());
-  return bytes <= settings.stateLimits.maxValueKib * kBytesPerKb * constants::kMaxValueFillShare;
+  return bytes <= settings.stateLimits.maxValueKib * kBytesPerKib * constants::kMaxValueFillShare;
 }
 
 }  // namespace
--- a/src/service/leader.cpp
+++ b/src/service/leader.cpp
@@ -12,7 +12,7 @@
       commands_(state_, {[this](const Attempt& attempt) { return gangs_.canStart(attempt); },
                          [this](const wire::TaskId& task) { return records_.isCompletionDurable(task); },
                          [this](Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
-                           heartbeats_.apply(machine, heartbeat, HeartbeatSource::direct);
+                           heartbeats_.apply(machine, heartbeat, HeartbeatSource::directCall);
                          }}),
       records_(state_,
                {[this](jobs::Job& job) { onJobEnded(job); }, [this] { commands_.scheduleForgetCommands(); }}),
@@ -31,11 +31,12 @@
       inventory_(state_, lifecycle_, attempts_),
       heartbeats_(state_, commands_, lifecycle_, attempts_, bootMonitor_, inventory_),
       scheduler_(state_, commands_, gangs_, attempts_),
-      partitions_(context.settings),
-      failover_(state_, lifecycle_, scheduler_, partitions_),
+      partitionDetector_(context.settings),
+      failover_(state_, lifecycle_, scheduler_, partitionDetector_),
       prober_(state_, commands_, heartbeats_),
-      failureDetector_(state_, lifecycle_, attempts_, taskFailures_, prober_, failover_, partitions_),
-      autoscaler_(state_, lifecycle_, inventory_, bootMonitor_, scheduler_, failover_, partitions_, cloud_),
+      failureDetector_(state_, lifecycle_, attempts_, taskFailures_, prober_, failover_, partitionDetector_),
+      autoscaler_(state_, lifecycle_, inventory_, bootMonitor_, scheduler_, failover_, partitionDetector_,
+                  cloud_),
       loader_(state_, records_, gangs_, lifecycle_, cloud_) {}
 
 void Leader::onResumed(wire::Duration suspendedFor) {
@@ -46,11 +47,11 @@
     machine.contact.lastDirectContactAt += suspendedFor;
     if (machine.contact.unacknowledgedSince != Time{}) machine.contact.unacknowledgedSince += suspendedFor;
   }
-  partitions_.reset();
+  partitionDetector_.reset();
 }
 
 void Leader::tick() {
-  if (state_.resigned()) return;
+  if (state_.hasResigned()) return;
   if (phase_ == Phase::loading) {
     if (loader_.tick()) startActing();
     return;
@@ -60,7 +61,7 @@
   bootMonitor_.tick();
   lifecycle_.processEmptyMachines();
   advance();
-  if (state_.resigned()) return;
+  if (state_.hasResigned()) return;
   lifecycle_.writeDecommissioning();
   records_.deleteObsoleteKeys();
   autoscaler_.tick();
@@ -74,21 +75,21 @@
   autoscaler_.loadSizingState();
   const auto loadTime =
       std::chrono::duration_cast<std::chrono::milliseconds>(context_.now - state_.electedAt);
-  context_.event(Level::info, "leader_ready",
-                 {{"term", state_.term},
-                  {"machines", state_.machines.all().size()},
-                  {"open_jobs", state_.jobs.openJobs().size()},
-                  {"load_ms", loadTime.count()}});
+  context_.logEvent(LogLevel::info, "leader_ready",
+                    {{"term", state_.term},
+                     {"machines", state_.machines.all().size()},
+                     {"open_jobs", state_.jobs.openJobs().size()},
+                     {"load_ms", loadTime.count()}});
 }
 
 void Leader::advance() {
-  if (state_.resigned() || phase_ != Phase::acting) return;
+  if (state_.hasResigned() || phase_ != Phase::acting) return;
   records_.tick();
   scheduler_.tick();
   lifecycle_.tick();
   records_.write();
   scheduler_.startRound();
-  if (!state_.resigned()) commands_.sendDirectCommands();
+  if (!state_.hasResigned()) commands_.sendDirectCommands();
 }
 
 HeartbeatResponse Leader::onHeartbeat(const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
--- a/src/service/leader.hpp
+++ b/src/service/leader.hpp
@@ -83,7 +83,7 @@
   InstanceInventory inventory_;
   HeartbeatProcessor heartbeats_;
   PlacementScheduler scheduler_;
-  PartitionDetector partitions_;
+  PartitionDetector partitionDetector_;
   ServiceFailover failover_;
   WorkerProber prober_;
   FailureDetector failureDetector_;
--- a/src/service/leader/attempt_tracker.cpp
+++ b/src/service/leader/attempt_tracker.cpp
@@ -24,8 +24,8 @@
     case wire::TaskState::unrecognized:
       // The state is from a later protocol version. Whatever it means, the task is on the machine.
       if (!std::exchange(unrecognizedStateLogged_, true))
-        context_.event(Level::info, "unknown_state",
-                       {{"task", attempt.task.str()}, {"machine", machine.host.text}});
+        context_.logEvent(LogLevel::info, "unknown_state",
+                          {{"task", attempt.task.str()}, {"machine", machine.host.text}});
       if (attempt.phase == AttemptPhase::recorded) setPhase(attempt, AttemptPhase::pulling);
       return;
     case wire::TaskState::pulling:
@@ -41,11 +41,11 @@
 }
 
 void AttemptTracker::applyRunning(Machine& machine, Attempt& attempt) {
-  if (attempt.phase != AttemptPhase::running && context_.isLogged(Level::debug))
-    context_.event(Level::debug, "running",
-                   {{"task", attempt.task.str()},
-                    {"machine", machine.host.text},
-                    {"after_s", wire::toSeconds(context_.now - attempt.placedAt)}});
+  if (attempt.phase != AttemptPhase::running && context_.isLogged(LogLevel::debug))
+    context_.logEvent(LogLevel::debug, "running",
+                      {{"task", attempt.task.str()},
+                       {"machine", machine.host.text},
+                       {"after_s", wire::toSeconds(context_.now - attempt.placedAt)}});
   setPhase(attempt, AttemptPhase::running);
   if (!attempt.image.empty()) machine.recordImage(attempt.image, attempt.imageSizeGb);
   if (!attempt.isGangMember) return;
@@ -63,14 +63,14 @@
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   const bool isTracked = job != nullptr && job->isOpen() && attempt.task.index < job->tasks.size();
   if (cause == wire::Cause::done && !attempt.isService) {
-    machine.faults.clearSuspicion();
+    machine.failures.clearSuspicion();
     if (isTracked) complete(attempt.task);
     return;
   }
   if (cause == wire::Cause::error || cause == wire::Cause::unknown) failures_.recordFailure(machine, attempt);
-  if (context_.isLogged(Level::debug))
-    context_.event(
-        Level::debug, "ended",
+  if (context_.isLogged(LogLevel::debug))
+    context_.logEvent(
+        LogLevel::debug, "ended",
         {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"cause", static_cast<int>(cause)}});
   if (!isTracked) return;
   returnToWaiting(*job, attempt.task);
@@ -97,8 +97,8 @@
   if (wasEnded) return;  // applyEnded() has updated the task already
   jobs::Job* job = state_.jobs.find(attempt.task.job.text);
   if (job == nullptr || !job->isOpen() || attempt.task.index >= job->tasks.size()) return;
-  context_.event(Level::info, "attempt_freed",
-                 {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
+  context_.logEvent(LogLevel::info, "attempt_freed",
+                    {{"task", attempt.task.str()}, {"machine", machine.host.text}, {"why", why}});
   returnToWaiting(*job, attempt.task);
   gangs_.onTaskLost(*job, attempt, why);
 }
--- a/src/service/leader/autoscaler.cpp
+++ b/src/service/leader/autoscaler.cpp
@@ -8,17 +8,17 @@
 namespace reachhoist::service {
 
 Autoscaler::Autoscaler(LeaderState& state, MachineLifecycle& lifecycle, InstanceInventory& inventory,
-                       const BootMonitor& boots, const PlacementScheduler& scheduler,
-                       const ServiceFailover& failover, const PartitionDetector& partitions,
+                       const BootMonitor& bootMonitor, const PlacementScheduler& scheduler,
+                       const ServiceFailover& failover, const PartitionDetector& partitionDetector,
                        cloud::Client& cloud)
     : state_(state),
       context_(state.context),
       lifecycle_(lifecycle),
       inventory_(inventory),
-      boots_(boots),
+      bootMonitor_(bootMonitor),
       scheduler_(scheduler),
       failover_(failover),
-      partitions_(partitions),
+      partitionDetector_(partitionDetector),
       cloud_(cloud),
       sizing_(state.context.settings, state.term),
       sizingStore_(state, sizing_) {}
@@ -41,8 +41,8 @@
   const fleet::FleetSnapshot snapshot = fleetSnapshot();
   fleet::Headroom headroom(snapshot);
   for (const fleet::Step& step : sizing_.runRound(context_.now, fleet::viewPools(snapshot))) {
-    context_.event(
-        Level::info, "step",
+    context_.logEvent(
+        LogLevel::info, "step",
         {{"pool", step.pool.str()}, {"units", step.units}, {"machines", step.machines}, {"why", step.why}});
     if (step.machines > 0) requestInstances(step.pool, step.machines, "step");
     scaleIn(step.pool, -step.machines, headroom);
@@ -84,7 +84,7 @@
 }
 
 void Autoscaler::requestInstances(const cloud::PoolKey& pool, int count, const char* why) {
-  context_.event(Level::info, "scale_out", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
+  context_.logEvent(LogLevel::info, "scale_out", {{"pool", pool.str()}, {"machines", count}, {"why", why}});
   cloud_.requestInstances(context_.now, pool, static_cast<std::size_t>(count));
 }
 
@@ -99,8 +99,8 @@
     refusedPoolsUntil_[pool] = context_.now + constants::kRefusedPoolBackoff;
     if (hosts.empty()) sizing_.onScaleOutRefused(pool);
   }
-  context_.event(Level::info, "instances_provisioned",
-                 {{"pool", pool.str()}, {"machines", hosts.size()}, {"refused", refused}});
+  context_.logEvent(LogLevel::info, "instances_provisioned",
+                    {{"pool", pool.str()}, {"machines", hosts.size()}, {"refused", refused}});
   state_.requestPlacementRound();
 }
 
@@ -113,9 +113,9 @@
                                 scheduler_.unplacedDemand(),
                                 {},
                                 pendingByPool(),
-                                partitions_.zones(),
+                                partitionDetector_.partitionedZones(),
                                 failover_.servicesAtRisk(),
-                                boots_.history()};
+                                bootMonitor_.history()};
   std::erase_if(snapshot.unplaced,
                 [](const placement::UnplacedDemand& demand) { return !demand.job->isOpen(); });
   std::erase_if(refusedPoolsUntil_, [this](const auto& entry) { return entry.second <= context_.now; });
--- a/src/service/leader/autoscaler.hpp
+++ b/src/service/leader/autoscaler.hpp
@@ -27,8 +27,9 @@
 class Autoscaler {
  public:
   Autoscaler(LeaderState& state, MachineLifecycle& lifecycle, InstanceInventory& inventory,
-             const BootMonitor& boots, const PlacementScheduler& scheduler, const ServiceFailover& failover,
-             const PartitionDetector& partitions, cloud::Client& cloud);
+             const BootMonitor& bootMonitor, const PlacementScheduler& scheduler,
+             const ServiceFailover& failover, const PartitionDetector& partitionDetector,
+             cloud::Client& cloud);
   Autoscaler(const Autoscaler&) = delete;
 
   // Loads the sizing state that an earlier leader has saved.
@@ -56,10 +57,10 @@
   Context& context_;
   MachineLifecycle& lifecycle_;
   InstanceInventory& inventory_;
-  const BootMonitor& boots_;
+  const BootMonitor& bootMonitor_;
   const PlacementScheduler& scheduler_;
   const ServiceFailover& failover_;
-  const PartitionDetector& partitions_;
+  const PartitionDetector& partitionDetector_;
   cloud::Client& cloud_;
   fleet::Sizing sizing_;
   SizingStateStore sizingStore_;
--- a/src/service/leader/completion_records.cpp
+++ b/src/service/leader/completion_records.cpp
@@ -91,7 +91,7 @@
     for (const auto& [chunk, revision] : job->doneRevisions) markObsolete(jobs::doneKey(ref, chunk));
     const Json record = jobs::encodeFinal(*job, jobs::JobPhase::done);
     if (jobs_.apply(ref, record, outcome.revision) == jobs::JobTable::Change::ended) {
-      context_.event(Level::info, "job_done", {{"job", ref}});
+      context_.logEvent(LogLevel::info, "job_done", {{"job", ref}});
       callbacks_.onJobEnded(*jobs_.find(ref));
     }
   }
--- a/src/service/leader/failure_detector.cpp
+++ b/src/service/leader/failure_detector.cpp
@@ -13,23 +13,23 @@
   if (context_.now < nextCheckAt_ || !state_.confirmedSinceResume()) return;
   nextCheckAt_ = context_.now + constants::kTickInterval * kTicksPerCheck;
   prober_.sendTakeoverProbes();
-  partitions_.observe(state_.machines, context_.now);
+  partitionDetector_.observe(state_.machines, context_.now);
   const auto receivingFor = context_.now - state_.receivingHeartbeatsSince();
-  const bool canJudgeSilence =
+  const bool canDetectMissedHeartbeats =
       receivingFor > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
       state_.holdsLeaderLease();
-  if (partitions_.isMostlyIndirect()) prober_.probeRelayed();
+  if (partitionDetector_.isMostlyIndirect()) prober_.probeRelayed();
   if (transferLeadership()) return;
   taskFailures_.clearRecoveredJobs();
   for (auto& [host, machine] : state_.machines.all())
-    if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, canJudgeSilence);
+    if (machine.phase != MachinePhase::terminated) checkMachine(host, machine, canDetectMissedHeartbeats);
   if (receivingFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) &&
       state_.holdsLeaderLease())
     failover_.moveServices();
 }
 
 bool FailureDetector::transferLeadership() {
-  if (context_.settings.siblings.empty() || state_.resigned() || !state_.holdsLeaderLease()) return false;
+  if (context_.settings.siblings.empty() || state_.hasResigned() || !state_.holdsLeaderLease()) return false;
   const char* why = transferReason();
   if (why == nullptr) return false;
   state_.stepDown(why);
@@ -41,25 +41,26 @@
       context_.now - context_.lastSiblingHeartbeatAt > constants::kPeerHeartbeatTimeout;
   const bool siblingReachesStore =
       context_.now - context_.lastConfirmedSiblingHeartbeatAt <= constants::kPeerHeartbeatTimeout;
-  if (partitions_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
+  if (partitionDetector_.selfPartitionedFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "no worker heartbeats";
   if (siblingReachesStore &&
-      partitions_.withoutDirectContactFor(context_.now) > constants::kLeaderIsolationTimeout)
+      partitionDetector_.withoutDirectContactFor(context_.now) > constants::kLeaderIsolationTimeout)
     return "only relayed heartbeats";
   // If all machines had failed, a new leader would get no heartbeats either. Siblings whose heartbeats are
   // missing as well show that this controller is behind a network partition instead.
   if (siblingHeartbeatsMissing &&
-      partitions_.withoutHeartbeatsFor(context_.now) > constants::kNewLeaderContactTimeout &&
+      partitionDetector_.withoutHeartbeatsFor(context_.now) > constants::kNewLeaderContactTimeout &&
       context_.now - state_.receivingHeartbeatsSince() > constants::kNewLeaderContactTimeout)
     return "no heartbeats at all";
   return nullptr;
 }
 
-void FailureDetector::checkMachine(const std::string& host, Machine& machine, bool canJudgeSilence) {
+void FailureDetector::checkMachine(const std::string& host, Machine& machine,
+                                   bool canDetectMissedHeartbeats) {
   taskFailures_.evaluateQuarantine(machine);
   const bool leaseExpired = checkLease(host, machine);
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
-  if (canJudgeSilence) checkHeartbeats(machine, leaseExpired);
+  if (canDetectMissedHeartbeats) checkHeartbeats(machine, leaseExpired);
 }
 
 bool FailureDetector::checkLease(const std::string& host, Machine& machine) {
@@ -68,23 +69,23 @@
       std::any_of(machine.attempts.begin(), machine.attempts.end(),
                   [](const Attempt& attempt) { return attempt.phase != AttemptPhase::planned; });
   if (expired && machine.phase != MachinePhase::booting && hasAttempts) {
-    context_.event(Level::info, "lease_expired", {{"machine", host}});
+    context_.logEvent(LogLevel::info, "lease_expired", {{"machine", host}});
     attempts_.releaseAll(machine, "lease expired");
   }
   return expired;
 }
 
 void FailureDetector::checkHeartbeats(Machine& machine, bool leaseExpired) {
-  const auto silentFor = context_.now - machine.contact.lastHeartbeatAt;
-  const bool isPossiblyPartitioned = partitions_.isSuspected(machine.zone);
-  if (silentFor > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
+  const auto sinceLastHeartbeat = context_.now - machine.contact.lastHeartbeatAt;
+  const bool isPossiblyPartitioned = partitionDetector_.isSuspected(machine.zone);
+  if (sinceLastHeartbeat > state_.heartbeatTimeout(constants::kMissedHeartbeatIntervals, 2) &&
       (leaseExpired || !isPossiblyPartitioned))
     lifecycle_.decommission(machine, "missed heartbeats");
-  if (silentFor > state_.heartbeatTimeout(constants::kProbeHeartbeatIntervals, 1))
+  if (sinceLastHeartbeat > state_.heartbeatTimeout(constants::kProbeHeartbeatIntervals, 1))
     prober_.probeOverdue(machine);
   // A machine that has also left a probe unanswered is given up without waiting for a third missed heartbeat.
   if (machine.contact.unreachable &&
-      silentFor > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) &&
+      sinceLastHeartbeat > state_.heartbeatTimeout(constants::kUnreachableHeartbeatIntervals, 1) &&
       !isPossiblyPartitioned)
     lifecycle_.decommission(machine, "unreachable");
   // The worker sends heartbeats but receives nothing from this leader: its lease has expired, and it can't
--- a/src/service/leader/failure_detector.hpp
+++ b/src/service/leader/failure_detector.hpp
@@ -22,7 +22,7 @@
  public:
   FailureDetector(LeaderState& state, MachineLifecycle& lifecycle, AttemptTracker& attempts,
                   TaskFailurePolicy& taskFailures, WorkerProber& prober, ServiceFailover& failover,
-                  PartitionDetector& partitions)
+                  PartitionDetector& partitionDetector)
       : state_(state),
         context_(state.context),
         lifecycle_(lifecycle),
@@ -30,7 +30,7 @@
         taskFailures_(taskFailures),
         prober_(prober),
         failover_(failover),
-        partitions_(partitions) {}
+        partitionDetector_(partitionDetector) {}
   FailureDetector(const FailureDetector&) = delete;
 
   // Checks the leadership and all machines when the next check is due.
@@ -44,9 +44,9 @@
   // the key-value store is reachable: as long as this controller leads, the leases of all workers that can't
   // reach it expire.
   const char* transferReason() const;
-  // `canJudgeSilence` tells whether this leader has received heartbeats for so long that a missing one
+  // `canDetectMissedHeartbeats` is set if this leader has received heartbeats for so long that a missing one
   // indicates a failure.
-  void checkMachine(const std::string& host, Machine& machine, bool canJudgeSilence);
+  void checkMachine(const std::string& host, Machine& machine, bool canDetectMissedHeartbeats);
   void checkHeartbeats(Machine& machine, bool leaseExpired);
   // Releases the attempts on the machine if its worker's lease has expired. Returns whether it has expired.
   bool checkLease(const std::string& host, Machine& machine);
@@ -58,7 +58,7 @@
   TaskFailurePolicy& taskFailures_;
   WorkerProber& prober_;
   ServiceFailover& failover_;
-  PartitionDetector& partitions_;
+  PartitionDetector& partitionDetector_;
   Time nextCheckAt_{};
 };
 
--- a/src/service/leader/gang_coordinator.cpp
+++ b/src/service/leader/gang_coordinator.cpp
@@ -19,11 +19,11 @@
 
 void GangCoordinator::setState(jobs::Job& job, GangState next, const char* why) {
   if (job.gang.state == next) return;
-  context_.event(Level::info, "gang",
-                 {{"job", job.spec.ref.text},
-                  {"from", std::string(name(job.gang.state))},
-                  {"to", std::string(name(next))},
-                  {"why", why}});
+  context_.logEvent(LogLevel::info, "gang",
+                    {{"job", job.spec.ref.text},
+                     {"from", std::string(name(job.gang.state))},
+                     {"to", std::string(name(next))},
+                     {"why", why}});
   job.gang.setState(next);
 }
 
--- a/src/service/leader/heartbeat_processor.cpp
+++ b/src/service/leader/heartbeat_processor.cpp
@@ -18,7 +18,7 @@
 
 HeartbeatResponse HeartbeatProcessor::onHeartbeat(const wire::WorkerHeartbeat& heartbeat,
                                                   HeartbeatSource source) {
-  if (state_.resigned()) return {};
+  if (state_.hasResigned()) return {};
   if (!state_.canRenewLeases()) {
     // The heartbeat still shows that the machine is alive: machines that kept sending heartbeats during a
     // long outage of the key-value store must not be given up afterwards.
@@ -67,12 +67,12 @@
   lifecycle_.applyMachineType(machine);
   if (machine.phase != MachinePhase::booting) return;
   machine.setPhase(MachinePhase::up, context_.now);
-  boots_.recordBoot(machine);
-  context_.event(Level::info, "machine_up",
-                 {{"machine", heartbeat.host.text},
-                  {"type", heartbeat.machineType},
-                  {"zone", heartbeat.zone},
-                  {"after_s", wire::toSeconds(context_.now - machine.provisionedAt)}});
+  bootMonitor_.recordBoot(machine);
+  context_.logEvent(LogLevel::info, "machine_up",
+                    {{"machine", heartbeat.host.text},
+                     {"type", heartbeat.machineType},
+                     {"zone", heartbeat.zone},
+                     {"after_s", wire::toSeconds(context_.now - machine.provisionedAt)}});
 }
 
 void HeartbeatProcessor::apply(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
@@ -80,7 +80,7 @@
   if (!isNewer(machine, heartbeat)) return;
   if (heartbeat.incarnation > machine.incarnation) onNewIncarnation(machine, heartbeat);
   machine.lastHeartbeatSequence = heartbeat.sequence;
-  if (source != HeartbeatSource::relay) machine.contact.lastDirectContactAt = context_.now;
+  if (source != HeartbeatSource::siblingRelay) machine.contact.lastDirectContactAt = context_.now;
   applyFencingToken(machine, heartbeat);
   applySpotNotice(machine, heartbeat);
   for (const wire::TaskStatus& status : heartbeat.tasks) {
@@ -88,15 +88,15 @@
     if (attempt == nullptr) attempt = &addUnknownAttempt(machine, status);
     attempts_.applyStatus(machine, *attempt, status);
   }
-  if (source != HeartbeatSource::direct) reconcileMissingAttempts(machine, heartbeat);
+  if (source != HeartbeatSource::directCall) reconcileMissingAttempts(machine, heartbeat);
   AttemptTracker::eraseReleased(machine);
-  if (!machine.empty()) machine.idleSince = context_.now;
+  if (!machine.isIdle()) machine.idleSince = context_.now;
 }
 
 void HeartbeatProcessor::onNewIncarnation(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   if (machine.incarnation != 0 && !machine.attempts.empty())
-    context_.event(Level::info, "incarnation_changed",
-                   {{"machine", machine.host.text}, {"attempts", machine.attempts.size()}});
+    context_.logEvent(LogLevel::info, "incarnation_changed",
+                      {{"machine", machine.host.text}, {"attempts", machine.attempts.size()}});
   // The worker has killed and forgotten all tasks of its earlier incarnations. An attempt that an earlier
   // leader placed and that no heartbeat of this term has reported can belong to the new incarnation, because
   // the incarnation recorded so far can come from a delayed heartbeat. reconcileMissingAttempts() handles it.
@@ -126,8 +126,8 @@
 void HeartbeatProcessor::applySpotNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   if (!heartbeat.timeUntilReclaimS || machine.spotNoticeAt) return;
   machine.spotNoticeAt = context_.now + wire::seconds(*heartbeat.timeUntilReclaimS);
-  context_.event(Level::info, "spot_notice",
-                 {{"machine", machine.host.text}, {"in_s", *heartbeat.timeUntilReclaimS}});
+  context_.logEvent(LogLevel::info, "spot_notice",
+                    {{"machine", machine.host.text}, {"in_s", *heartbeat.timeUntilReclaimS}});
   lifecycle_.evictForSpotNotice(machine);
 }
 
@@ -143,8 +143,8 @@
   if (const jobs::Job* job = state_.jobs.find(status.task.job.text); job != nullptr)
     setResourceFields(unknownAttempt, job->spec);
   machine.attempts.push_back(std::move(unknownAttempt));
-  context_.event(Level::info, "unknown_attempt",
-                 {{"machine", machine.host.text}, {"task", status.task.str()}});
+  context_.logEvent(LogLevel::info, "unknown_attempt",
+                    {{"machine", machine.host.text}, {"task", status.task.str()}});
   return machine.attempts.back();
 }
 
--- a/src/service/leader/heartbeat_processor.hpp
+++ b/src/service/leader/heartbeat_processor.hpp
@@ -21,13 +21,13 @@
 class HeartbeatProcessor {
  public:
   HeartbeatProcessor(LeaderState& state, WorkerCommands& commands, MachineLifecycle& lifecycle,
-                     AttemptTracker& attempts, BootMonitor& boots, InstanceInventory& inventory)
+                     AttemptTracker& attempts, BootMonitor& bootMonitor, InstanceInventory& inventory)
       : state_(state),
         context_(state.context),
         commands_(commands),
         lifecycle_(lifecycle),
         attempts_(attempts),
-        boots_(boots),
+        bootMonitor_(bootMonitor),
         inventory_(inventory) {}
   HeartbeatProcessor(const HeartbeatProcessor&) = delete;
 
@@ -59,7 +59,7 @@
   WorkerCommands& commands_;
   MachineLifecycle& lifecycle_;
   AttemptTracker& attempts_;
-  BootMonitor& boots_;
+  BootMonitor& bootMonitor_;
   InstanceInventory& inventory_;
 };
 
--- a/src/service/leader/instance_inventory.cpp
+++ b/src/service/leader/instance_inventory.cpp
@@ -29,9 +29,10 @@
     if (machine == nullptr) continue;
     attempts_.releaseAll(*machine, "machine terminated");
     machine->setPhase(MachinePhase::terminated, context_.now);
-    for (const std::uint32_t batch : state_.batches.batchesNaming(host)) state_.staleBatches.insert(batch);
-    context_.event(Level::info, "machine_terminated",
-                   {{"machine", host}, {"why", machine->decommissionReason}});
+    for (const std::uint32_t batch : state_.batches.batchesContaining(host))
+      state_.staleBatches.insert(batch);
+    context_.logEvent(LogLevel::info, "machine_terminated",
+                      {{"machine", host}, {"why", machine->decommissionReason}});
     // This includes attempts whose placement is still being written: when their transaction is done, there is
     // no machine left to start them on.
     for (Attempt& attempt : machine->attempts) attempts_.release(*machine, attempt, "machine terminated");
@@ -74,7 +75,7 @@
   if (machine.endpoint.empty()) machine.endpoint = entry.endpoint;
   if (entry.state == wire::InstanceState::failed && machine.phase != MachinePhase::terminating &&
       machine.phase != MachinePhase::terminated) {
-    context_.event(Level::info, "machine_failed", {{"machine", entry.host.text}});
+    context_.logEvent(LogLevel::info, "machine_failed", {{"machine", entry.host.text}});
     attempts_.releaseAll(machine, "machine failed");
     lifecycle_.decommission(machine, "failed");
   } else if (machine.phase == MachinePhase::booting && entry.state == wire::InstanceState::running) {
@@ -82,9 +83,11 @@
     // machine that boots slowly only starts to send heartbeats then.
     if (machine.listedUpAt == Time{}) machine.listedUpAt = context_.now;
     const double listLagAllowanceS = 2 * context_.settings.cloudLimits.listLagS;
-    const auto silentFor = context_.now - std::max(machine.listedUpAt, state_.receivingHeartbeatsSince());
-    if (wire::toSeconds(silentFor) > listLagAllowanceS + kFirstHeartbeatIntervalsAfterListing *
-                                                             context_.settings.workers.heartbeatIntervalS)
+    const auto withoutHeartbeatFor =
+        context_.now - std::max(machine.listedUpAt, state_.receivingHeartbeatsSince());
+    if (wire::toSeconds(withoutHeartbeatFor) >
+        listLagAllowanceS +
+            kFirstHeartbeatIntervalsAfterListing * context_.settings.workers.heartbeatIntervalS)
       lifecycle_.decommission(machine, "running without heartbeats");
   }
 }
--- a/src/service/leader/leader_state.cpp
+++ b/src/service/leader/leader_state.cpp
@@ -69,7 +69,7 @@
     } else {
       // Either another writer has changed a record that only a leader writes, or this leader's copy of the
       // state is stale. The leader resigns because the next term reads all records again.
-      context.event(Level::error, "transaction_refused", {{"what", what}, {"key", key}});
+      context.logEvent(LogLevel::error, "transaction_refused", {{"what", what}, {"key", key}});
       return resign("a record was not as known");
     }
   }
--- a/src/service/leader/leader_state.hpp
+++ b/src/service/leader/leader_state.hpp
@@ -42,7 +42,7 @@
   // Gives up the leadership so that a sibling with a better connection to the workers can take over.
   void stepDown(const char* why);
   // Whether the leadership has been given up, by resign() or stepDown().
-  bool resigned() const { return resigned_; }
+  bool hasResigned() const { return resigned_; }
 
   // Whether the leadership and the job feed were confirmed recently enough to renew worker leases.
   bool canRenewLeases() const;
--- a/src/service/leader/machine_lifecycle.cpp
+++ b/src/service/leader/machine_lifecycle.cpp
@@ -30,10 +30,10 @@
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::booting) return;
   machine.decommissionReason = why;
   machine.setPhase(MachinePhase::draining, context_.now);
-  context_.event(Level::info, "draining", {{"machine", machine.host.text}, {"why", why}});
+  context_.logEvent(LogLevel::info, "draining", {{"machine", machine.host.text}, {"why", why}});
   for (Attempt& attempt : machine.attempts) {
     if (mode == DrainMode::graceful && !attempt.isService) continue;
-    gangs_.stop(machine, attempt, attempt.stopGraceS(), constants::kUnlimitedStopTimeS, why);
+    gangs_.stop(machine, attempt, attempt.stopGracePeriodS(), constants::kUnlimitedStopTimeS, why);
   }
 }
 
@@ -41,7 +41,7 @@
   if (machine.phase == MachinePhase::terminating || machine.phase == MachinePhase::decommissioning) return;
   machine.decommissionReason = why;
   machine.setPhase(MachinePhase::decommissioning, context_.now);
-  context_.event(Level::info, "decommissioning", {{"machine", machine.host.text}, {"why", why}});
+  context_.logEvent(LogLevel::info, "decommissioning", {{"machine", machine.host.text}, {"why", why}});
 }
 
 void MachineLifecycle::evictForSpotNotice(Machine& machine) {
@@ -54,7 +54,7 @@
     const double runTimeS = running ? wire::toSeconds(context_.now - attempt.runningSince) : 0;
     const bool endsInTime = !attempt.isService && running && expectedRunTimeS - runTimeS < timeUntilReclaimS;
     if (endsInTime) continue;
-    gangs_.stop(machine, attempt, attempt.stopGraceS(), timeUntilReclaimS, "spot notice");
+    gangs_.stop(machine, attempt, attempt.stopGracePeriodS(), timeUntilReclaimS, "spot notice");
   }
 }
 
--- a/src/service/leader/machine_lifecycle.hpp
+++ b/src/service/leader/machine_lifecycle.hpp
@@ -36,7 +36,7 @@
   // Stops all tasks that won't end before the cloud reclaims the spot instance.
   void evictForSpotNotice(Machine& machine);
 
-  // Decommissions empty draining machines, and drains empty spot instances that have a reclaim notice.
+  // Decommissions empty draining machines, and drains empty spot instances that have a spot notice.
   void processEmptyMachines();
   // Continues the transaction in flight, for example with a retry.
   void tick() { committer_.tick(context_.now); }
--- a/src/service/leader/placement_scheduler.cpp
+++ b/src/service/leader/placement_scheduler.cpp
@@ -80,8 +80,8 @@
   for (const placement::Preemption& preemption : preemptions) {
     Attempt* attempt = preemption.machine->find(preemption.task, preemption.attemptNumber);
     if (attempt == nullptr) continue;
-    context_.event(Level::info, "preempt",
-                   {{"task", preemption.task.str()}, {"machine", preemption.machine->host.text}});
+    context_.logEvent(LogLevel::info, "preempt",
+                      {{"task", preemption.task.str()}, {"machine", preemption.machine->host.text}});
     gangs_.stop(*preemption.machine, *attempt, preemption.gracePeriodS, constants::kUnlimitedStopTimeS,
                 "preempted");
   }
@@ -234,11 +234,12 @@
     }
     attempt.setPhase(AttemptPhase::recorded, context_.now);
     commands_.requestDirectCall(machine);
-    if (context_.isLogged(Level::debug))
-      context_.event(Level::debug, "placed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
+    if (context_.isLogged(LogLevel::debug))
+      context_.logEvent(LogLevel::debug, "placed",
+                        {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   }
   AttemptTracker::eraseReleased(machine);
-  if (!machine.empty()) machine.idleSince = context_.now;
+  if (!machine.isIdle()) machine.idleSince = context_.now;
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/round_shares.cpp
+++ b/src/service/leader/round_shares.cpp
@@ -26,11 +26,11 @@
 
 void RoundShares::onPlanned(const placement::PlacementPlan& plan) {
   // The search examines all machines, so it is not repeated in every round when it has found nothing.
-  if (plan.triedSharePreemption) nextPreemptionAt_ = context_.now + constants::kReplanInterval;
+  if (plan.searchedForShareVictims) nextPreemptionAt_ = context_.now + constants::kReplanInterval;
   if (plan.sharePreemptions == 0) return;
   nextPreemptionAt_ = context_.now + wire::seconds(shares::reclaimPauseS(context_.settings));
-  context_.event(Level::info, "share_preemption",
-                 {{"stops", plan.sharePreemptions}, {"generation", generation_}});
+  context_.logEvent(LogLevel::info, "share_preemption",
+                    {{"stops", plan.sharePreemptions}, {"generation", generation_}});
 }
 
 Json RoundShares::encodeStatus() {
--- a/src/service/leader/service_failover.cpp
+++ b/src/service/leader/service_failover.cpp
@@ -21,7 +21,7 @@
 
 bool ServiceFailover::isPartitioned(const Machine& machine) const {
   return machine.phase == MachinePhase::up && machine.contact.unreachable &&
-         partitions_.isPartitioned(machine.zone);
+         partitionDetector_.isPartitioned(machine.zone);
 }
 
 double ServiceFailover::vcpusForServices() const {
@@ -38,12 +38,12 @@
   }
   for (const placement::UnplacedDemand& demand : scheduler_.unplacedDemand())
     if (demand.job->spec.priority >= wire::Priority::high)
-      capacity -= demand.job->spec.taskResources.vcpus * demand.tasks;
+      capacity -= demand.job->spec.taskResources.vcpus * demand.taskCount;
   return capacity;
 }
 
 void ServiceFailover::moveServices() {
-  if (partitions_.zones().empty() || partitions_.isSelfPartitioned()) return;
+  if (partitionDetector_.partitionedZones().empty() || partitionDetector_.isSelfPartitioned()) return;
   double capacity = vcpusForServices();
   const auto moveDelay = wire::seconds(context_.settings.workers.leaseS * constants::kFailoverLeaseShare);
   // A machine without a heartbeat in this term can have been partitioned from the earlier leader for a long
@@ -62,7 +62,7 @@
 }
 
 std::vector<placement::UnplacedDemand> ServiceFailover::servicesAtRisk() const {
-  if (partitions_.isSelfPartitioned()) return {};
+  if (partitionDetector_.isSelfPartitioned()) return {};
   std::map<std::string, std::uint32_t> tasksByJob;
   for (const auto& [host, machine] : state_.machines.all()) {
     if (!isPartitioned(machine)) continue;
--- a/src/service/leader/service_failover.hpp
+++ b/src/service/leader/service_failover.hpp
@@ -15,12 +15,12 @@
 class ServiceFailover {
  public:
   ServiceFailover(LeaderState& state, MachineLifecycle& lifecycle, const PlacementScheduler& scheduler,
-                  const PartitionDetector& partitions)
+                  const PartitionDetector& partitionDetector)
       : state_(state),
         context_(state.context),
         lifecycle_(lifecycle),
         scheduler_(scheduler),
-        partitions_(partitions) {}
+        partitionDetector_(partitionDetector) {}
   ServiceFailover(const ServiceFailover&) = delete;
 
   // Decommissions machines in partitioned zones once most of their lease has passed, as far as there is
@@ -44,7 +44,7 @@
   Context& context_;
   MachineLifecycle& lifecycle_;
   const PlacementScheduler& scheduler_;
-  const PartitionDetector& partitions_;
+  const PartitionDetector& partitionDetector_;
 };
 
 }  // namespace reachhoist::service
--- a/src/service/leader/sizing_state_store.cpp
+++ b/src/service/leader/sizing_state_store.cpp
@@ -15,7 +15,7 @@
                        if (!result.ok()) return;
                        const Json* value = wire::field(result.body, "value");
                        if (value == nullptr || !sizing_.decode(*value))
-                         context_.event(Level::error, "bad_record", {{"key", kSizingStateKey}});
+                         context_.logEvent(LogLevel::error, "bad_record", {{"key", kSizingStateKey}});
                      }));
 }
 
--- a/src/service/leader/state_loader.cpp
+++ b/src/service/leader/state_loader.cpp
@@ -142,7 +142,7 @@
   std::size_t end = 0;
   const auto chunk = slash == std::string::npos ? std::nullopt : parseNumber(name, slash + 1, end);
   if (!hex || !chunk) {
-    context_.event(Level::error, "bad_record", {{"key", kCompletionPrefix + name}});
+    context_.logEvent(LogLevel::error, "bad_record", {{"key", kCompletionPrefix + name}});
     return;
   }
   completionChunks_.push_back(CompletionChunk{name.substr(0, slash), *chunk, *hex, revision});
@@ -152,7 +152,7 @@
   lifecycle_.setStoredRevision(revision);
   const Json* hosts = wire::field(value, "hosts");
   if (hosts == nullptr || !hosts->is_array()) {
-    context_.event(Level::error, "bad_record", {{"key", kDecommissioningKey}});
+    context_.logEvent(LogLevel::error, "bad_record", {{"key", kDecommissioningKey}});
     return;
   }
   for (const Json& host : *hosts)
@@ -163,7 +163,7 @@
   std::size_t end = 0;
   const auto number = parseNumber(name, 0, end);
   if (!number || end != name.size()) {
-    context_.event(Level::error, "bad_record", {{"page", name}});
+    context_.logEvent(LogLevel::error, "bad_record", {{"page", name}});
     return;
   }
   const auto hosts = machines::decodePlacementBatch(value);
@@ -173,7 +173,7 @@
   // A batch that can't be decoded also has a revision, on which its next write depends.
   state_.batches.setStored(*number, revision, std::move(hostNames));
   if (!hosts) {
-    context_.event(Level::error, "bad_record", {{"page", name}});
+    context_.logEvent(LogLevel::error, "bad_record", {{"page", name}});
     return;
   }
   for (const machines::BatchedHost& record : *hosts) adoptMachine(record, *number);
@@ -219,7 +219,7 @@
     if (job == nullptr || !job->isOpen()) {
       records_.markObsolete(jobs::doneKey(record.ref, record.chunk));
     } else if (!job->loadDoneChunk(record.chunk, record.hex, record.revision, context_.now)) {
-      context_.event(Level::error, "bad_record", {{"key", jobs::doneKey(record.ref, record.chunk)}});
+      context_.logEvent(LogLevel::error, "bad_record", {{"key", jobs::doneKey(record.ref, record.chunk)}});
     }
   }
   completionChunks_.clear();
--- a/src/service/leader/task_failure_policy.cpp
+++ b/src/service/leader/task_failure_policy.cpp
@@ -4,7 +4,8 @@
 
 void TaskFailurePolicy::recordFailure(Machine& machine, const Attempt& attempt) {
   const std::string& ref = attempt.task.job.text;
-  context_.event(Level::info, "task_failed", {{"task", attempt.task.str()}, {"machine", machine.host.text}});
+  context_.logEvent(LogLevel::info, "task_failed",
+                    {{"task", attempt.task.str()}, {"machine", machine.host.text}});
   jobs::Job* job = state_.jobs.find(ref);
   if (job == nullptr || !job->isOpen()) return;
   const bool hasRun = attempt.runningSince != Time{};
@@ -14,21 +15,21 @@
     // The job failed on every machine it was tried on. A few of its tasks are retried, at growing intervals,
     // until the user cancels the job.
     if (jobsFailingEverywhere_.insert(ref).second) {
-      context_.event(Level::info, "job_faulty", {{"job", ref}});
+      context_.logEvent(LogLevel::info, "job_faulty", {{"job", ref}});
       clearMachineSuspicion(ref);
     }
     return job->failures.attributeToJob(context_.now);
   }
-  ++machine.faults.consecutiveErrors;
-  machine.faults.failedJobs.insert(ref);
-  if (machine.faults.consecutiveErrors >= constants::kSuspectAfterErrors)
-    machine.faults.suspectUntil = context_.now + constants::kSuspectDuration;
+  ++machine.failures.consecutiveErrors;
+  machine.failures.failedJobs.insert(ref);
+  if (machine.failures.consecutiveErrors >= constants::kSuspectAfterErrors)
+    machine.failures.suspectUntil = context_.now + constants::kSuspectDuration;
 }
 
 void TaskFailurePolicy::clearMachineSuspicion(const std::string& ref) {
   for (auto& [host, machine] : state_.machines.all())
-    if (machine.faults.failedJobs.erase(ref) > 0 && machine.faults.failedJobs.empty())
-      machine.faults.clearSuspicion();
+    if (machine.failures.failedJobs.erase(ref) > 0 && machine.failures.failedJobs.empty())
+      machine.failures.clearSuspicion();
 }
 
 void TaskFailurePolicy::clearRecoveredJobs() {
@@ -67,18 +68,19 @@
 }
 
 void TaskFailurePolicy::evaluateQuarantine(Machine& machine) {
-  if (machine.faults.consecutiveErrors < constants::kSuspectAfterErrors || machine.faults.quarantined) return;
+  if (machine.failures.consecutiveErrors < constants::kSuspectAfterErrors || machine.failures.quarantined)
+    return;
   bool allJobsFailElsewhere = true;
-  for (const std::string& ref : machine.faults.failedJobs) {
+  for (const std::string& ref : machine.failures.failedJobs) {
     if (succeedsElsewhere(ref, machine)) {
-      machine.faults.quarantined = true;
+      machine.failures.quarantined = true;
       return lifecycle_.drain(machine, "quarantined");
     }
     const jobs::Job* job = state_.jobs.find(ref);
     if (job != nullptr && job->isOpen() && job->failures.failedMachineCount() < 2)
       allJobsFailElsewhere = false;
   }
-  if (allJobsFailElsewhere) machine.faults.clearSuspicion();
+  if (allJobsFailElsewhere) machine.failures.clearSuspicion();
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.cpp
+++ b/src/service/leader/worker_commands.cpp
@@ -95,14 +95,14 @@
   // Without the leader lease, another controller can have confirmed the job's cancellation in the meantime.
   if (attempt.directCommandsInFlight != 0 || !state_.holdsLeaderLease()) return std::nullopt;
   if (attempt.isGangMember && !callbacks_.canStartGangTask(attempt)) return std::nullopt;
-  if (source != HeartbeatSource::direct && attempt.startSentInSequence == 0)
+  if (source != HeartbeatSource::directCall && attempt.startSentInSequence == 0)
     attempt.startSentInSequence = sequence;
   return makeCommand(wire::CommandVerb::start, attempt);
 }
 
 std::optional<wire::Command> WorkerCommands::stopOnMachine(Attempt& attempt, HeartbeatSource source) {
   if (!attempt.stopRequested) return std::nullopt;
-  if (attempt.stopSent && source == HeartbeatSource::direct) return std::nullopt;
+  if (attempt.stopSent && source == HeartbeatSource::directCall) return std::nullopt;
   if (attempt.phase == AttemptPhase::checkpointing && attempt.gracePeriodS > 0) return std::nullopt;
   attempt.stopSent = true;
   return makeCommand(wire::CommandVerb::stop, attempt, attempt.gracePeriodS);
@@ -149,7 +149,7 @@
   if (machine.endpoint.empty() || machine.incarnation == 0 || !state_.canRenewLeases()) return;
   if (machine.phase != MachinePhase::up && machine.phase != MachinePhase::draining) return;
   DirectCall directCall{machine.host.text, fencingTokenOf(machine), machine.incarnation,
-                        takeDueCommands(machine, HeartbeatSource::direct, 0)};
+                        takeDueCommands(machine, HeartbeatSource::directCall, 0)};
   if (directCall.commands.empty() &&
       (machine.contact.tokenAcknowledged || !machine.contact.takeoverProbeSent))
     return;
@@ -201,8 +201,8 @@
   // A new token invalidates the commands as soon as the worker has seen it.
   if (result.sent && call.fencingToken == fencingTokenOf(machine)) issueFencingToken(machine);
   machine.directCommands.nextSendAt = context_.now + constants::kWorkerCallTimeout;
-  context_.event(Level::info, "command_unanswered",
-                 {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
+  context_.logEvent(LogLevel::info, "command_unanswered",
+                    {{"machine", call.host}, {"sent", result.sent ? "yes" : "no"}});
 }
 
 }  // namespace reachhoist::service
--- a/src/service/leader/worker_commands.hpp
+++ b/src/service/leader/worker_commands.hpp
@@ -15,9 +15,9 @@
 
 namespace reachhoist::service {
 
-// How the state of a worker reached this leader: in its heartbeat, in its heartbeat relayed by a sibling, or
-// in its answer to a direct call.
-enum class HeartbeatSource { heartbeat, relay, direct };
+// How the state of a worker reached this leader: in a heartbeat from the worker itself, in a heartbeat that a
+// sibling relayed, or in the worker's answer to a direct call.
+enum class HeartbeatSource { worker, siblingRelay, directCall };
 
 // Decides which commands are due, adds them to heartbeat answers, and sends the urgent ones in direct calls.
 class WorkerCommands {
--- a/src/service/leader/worker_prober.cpp
+++ b/src/service/leader/worker_prober.cpp
@@ -71,7 +71,7 @@
   if (result.status == 0) machine->contact.unreachable = true;
   const auto heartbeat = wire::decodeHeartbeat(result.body);
   if (!result.ok() || !heartbeat || heartbeat->host.text != host) return;
-  heartbeats_.apply(*machine, *heartbeat, HeartbeatSource::direct);
+  heartbeats_.apply(*machine, *heartbeat, HeartbeatSource::directCall);
   machine->contact.unreachable = false;
   // A direct call delivers the fencing token even if it carries no commands.
   if (!machine->contact.tokenAcknowledged) commands_.requestDirectCall(*machine);
--- a/src/service/partition_detector.hpp
+++ b/src/service/partition_detector.hpp
@@ -25,7 +25,7 @@
 
   // Returns the zones that count as partitioned: more than half of their machines have an overdue heartbeat,
   // or had one a short time ago.
-  const std::set<std::string>& zones() const { return partitionedZones_; }
+  const std::set<std::string>& partitionedZones() const { return partitionedZones_; }
   bool isPartitioned(const std::string& zone) const { return partitionedZones_.contains(zone); }
   // Returns whether the zone is partitioned, or more than half of its machines are without direct contact.
   // The heartbeats of the other machines can stop soon in either case.
--- a/src/service/runtime.cpp
+++ b/src/service/runtime.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Runtime::Runtime(const config::Settings& settings, Level level, Context::LogSink sink)
+Runtime::Runtime(const config::Settings& settings, LogLevel level, Context::LogSink sink)
     : settings_(settings),
       controller_(settings, std::random_device{}(), level, std::move(sink)),
       server_(
@@ -82,14 +82,15 @@
 
 void Runtime::performActions() {
   Actions actions = controller_.drain();
-  for (const Reply& reply : actions.replies) sendReply(reply);
+  for (const Response& response : actions.responses) sendResponse(response);
   for (const OutgoingPeerMessage& outgoing : actions.peerMessages) sendToSibling(outgoing);
   for (wire::Call& call : actions.calls) net::spawn(executeCall(std::move(call)));
 }
 
-void Runtime::sendReply(const Reply& reply) {
-  std::string body = reply.body.is_null() ? std::string() : wire::encodeBody(reply.body);
-  server_.respond(reply.request, net::HttpResponse{reply.status, std::move(body), reply.retryAfterS});
+void Runtime::sendResponse(const Response& response) {
+  std::string body = response.body.is_null() ? std::string() : wire::encodeBody(response.body);
+  server_.respond(response.request,
+                  net::HttpResponse{response.status, std::move(body), response.retryAfterS});
 }
 
 void Runtime::sendToSibling(const OutgoingPeerMessage& outgoing) {
--- a/src/service/runtime.hpp
+++ b/src/service/runtime.hpp
@@ -17,7 +17,7 @@
 class Runtime {
  public:
   // `settings` must outlive the runtime. `sink` receives the log lines up to `level`.
-  Runtime(const config::Settings& settings, Level level, Context::LogSink sink);
+  Runtime(const config::Settings& settings, LogLevel level, Context::LogSink sink);
   Runtime(const Runtime&) = delete;
 
   // Listens and serves. It returns only if it cannot start, with the invalid setting.
@@ -32,7 +32,7 @@
   void onFrame(const std::string& frame);
   // Carries out the controller's queued actions. It must be called after each event.
   void performActions();
-  void sendReply(const Reply& reply);
+  void sendResponse(const Response& response);
   void sendToSibling(const OutgoingPeerMessage& outgoing);
 
   const config::Settings& settings_;
--- a/src/service/share_table_follower.cpp
+++ b/src/service/share_table_follower.cpp
@@ -20,10 +20,10 @@
 }
 
 void ShareTableFollower::refuse(const config::FieldError& problem) {
-  context_.event(Level::error, "shares_refused",
-                 {{"field", problem.field},
-                  {"why", problem.reason},
-                  {"kept_generation", context_.shares ? context_.shares->generation : 0}});
+  context_.logEvent(LogLevel::error, "shares_refused",
+                    {{"field", problem.field},
+                     {"why", problem.reason},
+                     {"kept_generation", context_.shares ? context_.shares->generation : 0}});
 }
 
 void ShareTableFollower::onRecord(const Json* value, std::uint64_t revision) {
@@ -47,7 +47,8 @@
     problem = config::FieldError{"generation", "is lower than that of the table in force"};
   if (problem) return refuse(*problem);
   if (context_.shares && table.generation == context_.shares->generation) return;
-  context_.event(Level::info, "shares", {{"generation", table.generation}, {"groups", table.shares.size()}});
+  context_.logEvent(LogLevel::info, "shares",
+                    {{"generation", table.generation}, {"groups", table.shares.size()}});
   context_.shares = std::move(table);
 }
 
--- a/src/shares/usage.cpp
+++ b/src/shares/usage.cpp
@@ -14,7 +14,8 @@
 
 // Whether the groups divide the machine's capacity. Work on the other machines will end or move soon.
 bool isCounted(const Machine& machine) {
-  return machine.phase == machines::MachinePhase::up && !machine.faults.quarantined && !machine.spotNoticeAt;
+  return machine.phase == machines::MachinePhase::up && !machine.failures.quarantined &&
+         !machine.spotNoticeAt;
 }
 
 Resources times(const Resources& task, double count) {
