--- a/src/config/constants.hpp
+++ b/src/config/constants.hpp
@@ -272,7 +272,7 @@
 // A job that has started no task for this long counts as starved. The largest jobs of a class must start
 // within 240 s.
 inline constexpr milliseconds kStarvationTimeout = 150s;
-// A starved job gets one of this many parts of its tasks at once.
+// One round places at most the waiting tasks of a starved job divided by this.
 inline constexpr std::uint32_t kStarvedJobDivisor = 8;
 // --- Gangs -----------------------------------------------------------------------------------------------
 // Capacity that frees up in pieces stays reserved for a gang for this long, which is two boots.
--- a/src/jobs/failures.hpp
+++ b/src/jobs/failures.hpp
@@ -21,7 +21,7 @@
   bool isWidespread() const;
   // Attributes the failures to the job and delays its next retry with a bounded exponential backoff.
   void attributeToJob(Time now);
-  // Forgets all failures, after some task has succeeded where others failed.
+  // Clears all failures, after some task has succeeded where others failed.
   void reset();
 
   // Whether the failures are attributed to the job.
--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -65,15 +65,16 @@
 
 void PlacementBatchTable::recountBytes(const MachineTable& machines) {
   for (auto& [number, batch] : batches_) batch.estimatedBytes = kBatchOverheadBytes;
-  std::vector<std::uint32_t> seen;
+  std::vector<std::uint32_t> countedBatches;
   for (const auto& [host, machine] : machines.all()) {
-    seen.clear();
+    countedBatches.clear();
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch) continue;
       PlacementBatch& batch = batches_[*attempt.batch];
       batch.estimatedBytes += estimatedAttemptBytes(attempt);
-      if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
-      seen.push_back(*attempt.batch);
+      if (std::find(countedBatches.begin(), countedBatches.end(), *attempt.batch) != countedBatches.end())
+        continue;
+      countedBatches.push_back(*attempt.batch);
       batch.estimatedBytes += estimatedHostBytes(machine);
     }
   }
--- a/src/service/controller.hpp
+++ b/src/service/controller.hpp
@@ -46,7 +46,7 @@
 
   // Starts all components. It must be called once, before any other event.
   void start(Time now, std::int64_t wallClockMs);
-  // Handles an HTTP request. The reply may follow in a later drain().
+  // Handles an HTTP request. The response can follow in a later drain().
   void onRequest(Time now, std::int64_t wallClockMs, const Request& request);
   // Handles the result of a call that drain() returned.
   void onResult(Time now, std::int64_t wallClockMs, std::uint64_t call, const wire::CallResult& result);
--- a/src/service/heartbeat_relay.cpp
+++ b/src/service/heartbeat_relay.cpp
@@ -39,7 +39,7 @@
 
 void HeartbeatRelay::relay(std::uint64_t request, WorkerRoute& route, const std::string& body) {
   // Without a link to the leader this controller cannot relay, but the controller that the worker tries next
-  // may have one. After a redirect to the leader the worker would only return to this controller.
+  // can have one. After a redirect to the leader the worker would only return to this controller.
   if (!siblings_.isReachable(route.leader)) return context_.replyTryAgain(request);
   if (route.relayedSince == Time{}) route.relayedSince = context_.now;
   const std::uint64_t number = nextRelayNumber_++;
