--- a/src/machines/placement_batches.cpp
+++ b/src/machines/placement_batches.cpp
@@ -56,7 +56,7 @@
   batch.hosts = std::move(hosts);
 }
 
-std::vector<std::uint32_t> PlacementBatchTable::batchesNaming(const std::string& host) const {
+std::vector<std::uint32_t> PlacementBatchTable::batchesContaining(const std::string& host) const {
   std::vector<std::uint32_t> numbers;
   for (const auto& [number, batch] : batches_)
     if (batch.hosts.contains(host)) numbers.push_back(number);
@@ -65,15 +65,16 @@
 
 void PlacementBatchTable::recountBytes(const MachineTable& machines) {
   for (auto& [number, batch] : batches_) batch.estimatedBytes = kBatchOverheadBytes;
-  std::vector<std::uint32_t> seen;
+  std::vector<std::uint32_t> countedBatches;
   for (const auto& [host, machine] : machines.all()) {
-    seen.clear();
+    countedBatches.clear();
     for (const Attempt& attempt : machine.attempts) {
       if (!attempt.batch) continue;
       PlacementBatch& batch = batches_[*attempt.batch];
       batch.estimatedBytes += estimatedAttemptBytes(attempt);
-      if (std::find(seen.begin(), seen.end(), *attempt.batch) != seen.end()) continue;
-      seen.push_back(*attempt.batch);
+      if (std::find(countedBatches.begin(), countedBatches.end(), *attempt.batch) != countedBatches.end())
+        continue;
+      countedBatches.push_back(*attempt.batch);
       batch.estimatedBytes += estimatedHostBytes(machine);
     }
   }
@@ -90,7 +91,7 @@
     return number;
   };
   for (const std::uint32_t number : roundBatches)
-    if (batches_[number].estimatedBytes + bytes <= valueSizeLimit_) return addTo(number);
+    if (batches_[number].estimatedBytes + bytes <= valueSizeLimitBytes_) return addTo(number);
   if (roundBatches.size() >= maxRoundBatches) return std::nullopt;
   if (const auto emptiest = emptiestBatch(roundBatches)) return addTo(*emptiest);
   const std::uint32_t added = batches_.empty() ? 0 : batches_.rbegin()->first + 1;
@@ -104,7 +105,7 @@
   std::optional<std::uint32_t> emptiest;
   std::size_t leastBytes = 0;
   for (const auto& [number, batch] : batches_) {
-    if (roundBatches.contains(number) || batch.estimatedBytes > valueSizeLimit_ / 2) continue;
+    if (roundBatches.contains(number) || batch.estimatedBytes > valueSizeLimitBytes_ / 2) continue;
     if (emptiest && batch.estimatedBytes >= leastBytes) continue;
     emptiest = number;
     leastBytes = batch.estimatedBytes;
